--- a/forwarder/config/src/convert.rs
+++ b/forwarder/config/src/convert.rs
@@ -1,24 +1,25 @@
-//! An operator's `config.json` of the old shape turned into one of the new shape: no pings, load reports in
-//! answers, rates in the list, second copies allowed. Pure: texts go in and come out, so that the command that
-//! writes files can promise to write whole or not at all.
+//! Converts an operator's `config.json` from the old format to the new one: no health checks, load reports in
+//! responses, rates in the endpoint list, duplicate copies allowed. The conversion does no I/O, so that the command
+//! that writes the file can write it completely or not at all.
 
 use serde_json::{json, Value};
 
-use crate::decisions::{tells_rates, LEFT};
+use crate::decisions::{is_rate_kind, LEFT};
 use crate::fields::*;
-use crate::read_told;
+use crate::parse_config;
 
-/// The counterpart of a configuration.
+/// A configuration in the new format, with a report of the changes.
 pub struct Converted {
     pub config: Value,
-    /// What was set, a line each: the key, what it was, what it is.
+    /// The changed settings, one line each: key, old value, new value.
     pub set: Vec<String>,
-    /// What the old file says that has no place in the new shape, or that somebody has to tell anew.
+    /// Settings of the old file that have no equivalent in the new format, or that have to be provided again.
     pub left: Vec<String>,
 }
 
-/// What the new shape says, as the key's path and its value; a report tells the share that is left and the limit.
-fn shape() -> [(&'static str, Value); 6] {
+/// The values that the new format sets, by the path of their key. Load reports contain the remaining share of the
+/// limit and the limit.
+fn new_format() -> [(&'static str, Value); 6] {
     [
         ("/settings/allowed/probes", json!(false)),
         ("/settings/allowed/mayDuplicate", json!(true)),
@@ -29,19 +30,19 @@
     ]
 }
 
-/// `retry_after` is whether a dismissal may say when to come back; as it was, if it is not said. Keys that are
-/// not known here are kept as they are. A file that a forwarder would not start with is refused, as is a
-/// counterpart that it would not start with; a file of the new shape comes back as it was.
-pub fn convert(text: &str, retry_after: Option<bool>) -> Plain<Converted> {
+/// Converts a configuration. `retry_after` is whether a rejection may carry a retry-after; `None` keeps the setting.
+/// Unknown keys are kept. A file that a forwarder would not start with is refused, and so is a file whose
+/// conversion a forwarder would not start with. A file that is already in the new format is returned unchanged.
+pub fn convert(text: &str, retry_after: Option<bool>) -> ConfigResult<Converted> {
     let mut config: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
-    starts(&config)?;
+    check_loads(&config)?;
     let (mut set, mut left) = (Vec::new(), Vec::new());
-    let told_sizes = tells_rates(config["settings"]["weightKind"].as_str());
+    let has_rates = is_rate_kind(config["settings"]["weightKind"].as_str());
     let retry_after = retry_after.map(|may| ("/settings/allowed/retryAfter", json!(may)));
-    for (path, value) in shape().into_iter().chain(retry_after) {
+    for (path, value) in new_format().into_iter().chain(retry_after) {
         put(&mut config, path, value, &mut set)?;
     }
-    if !told_sizes {
+    if !has_rates {
         let mut sizes = 0;
         let members = config
             .pointer_mut("/known/members")
@@ -54,13 +55,13 @@
             sizes += member.remove("size").is_some() as usize;
         }
         left.push(format!(
-            "known: {sizes} sizes are no rates and are dropped; discovery has to tell each destination's rate as `size`"
+            "known: {sizes} sizes are no rates and are dropped; discovery has to provide each destination's rate as `size`"
         ));
     }
     for (path, what) in [
         (
             "/settings/prices/probe",
-            "pings are barred, their price has no use",
+            "pings are barred, their price is not used",
         ),
         (
             "/settings/prices/crossZone",
@@ -68,12 +69,14 @@
         ),
         (
             "/settings/familyInfo/carriage",
-            "fees for routes apart are not read",
+            "fees for independent routes are not read",
         ),
     ] {
-        let costs = |value: &Value| value.as_f64().is_some_and(|price| price != 0.0);
-        let said = config.pointer(path);
-        if said.is_some_and(|v| costs(v) || v.as_array().is_some_and(|all| all.iter().any(costs))) {
+        let is_nonzero = |value: &Value| value.as_f64().is_some_and(|price| price != 0.0);
+        let price = config.pointer(path);
+        if price.is_some_and(|v| {
+            is_nonzero(v) || v.as_array().is_some_and(|all| all.iter().any(is_nonzero))
+        }) {
             left.push(format!("{}: kept, but {what}", key(path)));
         }
     }
@@ -83,20 +86,23 @@
         .is_none_or(Vec::is_empty)
     {
         left.push(
-            "settings.projects: no members are told; all events count as inside their share".into(),
+            "settings.projects: no members are configured; all events count as within their quota"
+                .into(),
         );
     }
-    starts(&config).map_err(|e| format!("its counterpart would not start: {e}"))?;
+    check_loads(&config).map_err(|e| {
+        format!("a forwarder would not start with the converted configuration: {e}")
+    })?;
     Ok(Converted { config, set, left })
 }
 
-/// A forwarder starts with it, given the folder that no file names.
-fn starts(config: &Value) -> Plain<()> {
+/// Checks that a forwarder would start with the configuration, given a state folder, which no file names.
+fn check_loads(config: &Value) -> ConfigResult<()> {
     let root = config.as_object().ok_or("not an object")?;
-    read_told(root, |name| (name == "PROXY_STATE").then(|| ".".into())).map(|_| ())
+    parse_config(root, |name| (name == "PROXY_STATE").then(|| ".".into())).map(|_| ())
 }
 
-fn put(config: &mut Value, path: &str, value: Value, set: &mut Vec<String>) -> Plain<()> {
+fn put(config: &mut Value, path: &str, value: Value, set: &mut Vec<String>) -> ConfigResult<()> {
     let before = config.pointer(path).cloned().unwrap_or_default();
     if before == value {
         return Ok(());
--- a/forwarder/config/src/decisions.rs
+++ b/forwarder/config/src/decisions.rs
@@ -1,56 +1,61 @@
-//! The terms of the decisions, read out of the settings that both wires share.
+//! Reads the configuration of the decision module from the settings, which both wire formats share.
 
 use plankhill_decisions::interface::*;
 use serde_json::Value;
 
 use crate::fields::*;
 
-/// The names of the settings in their order: the module is handed positions, never names.
+/// The names in the settings, in their order: the decision module receives positions, never names.
 pub struct Names {
     pub traffic: Vec<String>,
     pub kinds: Vec<String>,
     pub zones: Vec<String>,
     pub members: Vec<String>,
-    /// The sizes that the list gives are the rates that destinations take, in calls a second.
+    /// The sizes in the endpoint list are the rates that destinations accept, in calls per second.
     pub sizes_are_rates: bool,
-    /// The place in a load report of the share of its limit that a target has left.
+    /// The column of a load report with the share of its limit that a target has left.
     pub left_at: Option<usize>,
-    /// The list's changes are told only while asked for; by when to ask again (milliseconds), if they are.
+    /// Set if changes of the endpoint list are sent only on request: the time in milliseconds within which to
+    /// request them again.
     pub ask_within: Option<Ms>,
 }
 
 /// The name, in load reports, of the share of its limit that a target has left.
 pub const LEFT: &str = "x0";
 
-/// The terms of the decisions out of the settings, which stand at `path`.
-pub fn decision_config(env: &Object, path: &str, seed: u64) -> Plain<(DecisionConfig, Names)> {
-    read_terms(env, seed).map_err(|e| format!("{path}.{e}"))
+/// Reads the configuration of the decision module from the settings at `path`.
+pub fn decision_config(
+    env: &Object,
+    path: &str,
+    seed: u64,
+) -> ConfigResult<(DecisionConfig, Names)> {
+    read_decision_config(env, seed).map_err(|e| format!("{path}.{e}"))
 }
 
-fn read_terms(env: &Object, seed: u64) -> Plain<(DecisionConfig, Names)> {
+fn read_decision_config(env: &Object, seed: u64) -> ConfigResult<(DecisionConfig, Names)> {
     let within = |what: &'static str| move |e: String| format!("{what}.{e}");
     let allowed = object(env, "allowed").map_err(within("allowed"))?;
     let rules = object(env, "rules").map_err(within("rules"))?;
     let family = object(env, "familyInfo").map_err(within("familyInfo"))?;
-    let names_of = |field: &str| -> Plain<Vec<String>> {
-        let names = some(env, field)?;
+    let names_of = |field: &str| -> ConfigResult<Vec<String>> {
+        let names = non_empty_list(env, field)?;
         names
             .iter()
             .map(|n| {
                 Ok(n.as_str()
-                    .ok_or(format!("{field}: a name is no text"))?
+                    .ok_or(format!("{field}: a name is not a string"))?
                     .to_owned())
             })
             .collect()
     };
-    let (mut members, mut shares) = (Vec::new(), Vec::new());
+    let (mut members, mut quotas) = (Vec::new(), Vec::new());
     for (at, member) in optional_list(env, "projects")?.iter().enumerate() {
         let within = |e: String| format!("projects[{at}].{e}");
         let member = member
             .as_object()
             .ok_or_else(|| within("not an object".into()))?;
         members.push(text(member, "name").map_err(within)?.to_owned());
-        shares.push(positive(member, "quotaPerS").map_err(within)?);
+        quotas.push(positive(member, "quotaPerS").map_err(within)?);
     }
     let report = present(env, "report")
         .and_then(|r| r.get("columns"))
@@ -61,7 +66,7 @@
         kinds: names_of("shapes")?,
         zones: names_of("zones")?,
         members,
-        sizes_are_rates: tells_rates(optional_text(env, "weightKind")?),
+        sizes_are_rates: is_rate_kind(optional_text(env, "weightKind")?),
         left_at,
         ask_within: match optional_text(env, "discovery")? {
             Some("on_request") => {
@@ -75,7 +80,7 @@
         place(&names.zones, zone, "zone")?;
     }
     let mut traffic = Vec::new();
-    for (at, profile) in some(env, "profiles")?.iter().enumerate() {
+    for (at, profile) in non_empty_list(env, "profiles")?.iter().enumerate() {
         let within = |e: String| format!("profiles[{at}].{e}");
         let profile = profile
             .as_object()
@@ -84,11 +89,11 @@
         names.traffic.push(name);
         traffic.push(kind);
     }
-    let apart = family.get("kindApart").and_then(Value::as_array);
+    let independent_routes = family.get("kindApart").and_then(Value::as_array);
     let per_call = family.get("perCall").and_then(Value::as_array);
     let kinds = (0..names.kinds.len())
         .map(|k| DestinationKind {
-            independent_routes: apart
+            independent_routes: independent_routes
                 .and_then(|a| a.get(k))
                 .and_then(Value::as_bool)
                 .unwrap_or(false),
@@ -99,7 +104,7 @@
         })
         .collect();
     let flag = |field: &str| allowed.get(field) == Some(&Value::Bool(true));
-    let terms = DecisionConfig {
+    let config = DecisionConfig {
         seed,
         instance: whole(env, "me")?,
         forwarder_count: number(env, "balancers")?,
@@ -112,7 +117,7 @@
         max_retry_after: flag("retryAfter")
             .then(|| optional_time(allowed, "maxRetryAfterUs"))
             .transpose()?,
-        member_quotas: shares,
+        member_quotas: quotas,
         over_quota_value_weight: match present(env, "overShareWorth") {
             Some(_) => number(env, "overShareWorth")?,
             None => 1.0,
@@ -123,10 +128,10 @@
         key_cooldown: optional_time(rules, "keyQuietUs")?,
         tuning: Tuning::default(),
     };
-    Ok((terms, names))
+    Ok((config, names))
 }
 
-fn traffic_type(profile: &Object) -> Plain<(String, TrafficType)> {
+fn traffic_type(profile: &Object) -> ConfigResult<(String, TrafficType)> {
     let effect = match text(profile, "semantics")? {
         "pure" => Idempotency::Idempotent,
         "token" => Idempotency::Deduplicated {
@@ -147,13 +152,13 @@
     Ok((text(profile, "name")?.to_owned(), traffic))
 }
 
-/// Whether sizes of that kind are the rates that destinations take.
-pub(crate) fn tells_rates(kind: Option<&str>) -> bool {
+/// Whether sizes of this kind are the rates that destinations accept.
+pub(crate) fn is_rate_kind(kind: Option<&str>) -> bool {
     matches!(kind, Some("nominal" | "rough"))
 }
 
-/// The key of ordered events, as the wires write it.
-pub fn order_key(digits: &str) -> Plain<OrderKey> {
+/// Parses the key of ordered events in the form of the wire formats.
+pub fn order_key(digits: &str) -> ConfigResult<OrderKey> {
     u64::from_str_radix(digits, 16)
         .map(OrderKey)
         .map_err(|_| format!("{digits:?} is not a hexadecimal key"))
--- a/forwarder/config/src/experiment.rs
+++ b/forwarder/config/src/experiment.rs
@@ -1,4 +1,4 @@
-//! What an experiment plays: a scenario, variants of it, sweeps over its keys, and seeds.
+//! The definition of an experiment: a scenario, variants of it, sweeps over its keys, and seeds.
 
 use serde::{Deserialize, Serialize};
 use toml::{Table, Value};
@@ -10,24 +10,24 @@
 pub struct Experiment {
     /// The question, in one sentence.
     pub about: String,
-    /// A file beside this one, or the name of a scenario that comes with the program.
+    /// A file in the folder of this one, or the name of a scenario that is shipped with the program.
     pub scenario: String,
-    /// Each point and variant is played with so many seeds, from `first_seed` on.
+    /// The number of seeds, from `first_seed` on, that each point and variant is simulated with.
     pub seeds: u64,
     #[serde(default = "first_seed")]
     pub first_seed: u64,
-    /// Keys set for all days.
+    /// Keys of the scenario that are set for all days.
     #[serde(default)]
     pub set: Table,
-    /// The first is the one that the others are held against.
+    /// The first variant is the reference that the others are compared with.
     pub variants: Vec<Variant>,
-    /// Every value of one with every value of the others.
+    /// Every value of one sweep is combined with every value of the others.
     #[serde(default)]
     pub sweep: Vec<Sweep>,
-    /// What is plotted over the sweep, beside the payoff.
+    /// The measures plotted over the sweep, beside the payoff.
     #[serde(default)]
     pub measures: Vec<Measure>,
-    /// Works out the upper bound of each day too.
+    /// Whether to compute the upper bound of each day's payoff too.
     #[serde(default)]
     pub bound: bool,
 }
@@ -43,10 +43,10 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Sweep {
-    /// A key of the scenario, as `forwarders.count`; several separated by a comma get the same value.
+    /// A key of the scenario, such as `forwarders.count`; several keys separated by commas get the same value.
     pub key: String,
     pub values: Vec<Value>,
-    /// What the axis is called; the key if nothing is said.
+    /// The label of the axis; the key by default.
     #[serde(default)]
     pub label: Option<String>,
 }
@@ -57,7 +57,8 @@
     ColdLoad,
     Tipped,
     CallsPerEvent,
-    /// What a fleet's decisions cost: a round of one forwarder looks at what came in for it.
+    /// The cost of a fleet's decisions: a round is one event loop iteration of one forwarder, which handles its
+    /// new inputs.
     RoundsPerEvent,
     RefusedShare,
     FailedShare,
@@ -67,20 +68,20 @@
 }
 
 impl Measure {
-    /// What an axis says.
-    pub fn words(self) -> &'static str {
+    /// The measure in words, for axis labels and headings.
+    pub fn description(self) -> &'static str {
         match self {
             Measure::ColdLoad => {
-                "most load on a returning destination, against the load that tips it"
+                "highest load on a recovering destination, as a share of the load that overloads it"
             }
-            Measure::Tipped => "destinations pushed over, a day",
-            Measure::CallsPerEvent => "calls for each event of a client",
-            Measure::RoundsPerEvent => "rounds of decisions for each event of a client",
-            Measure::RefusedShare => "share of calls refused",
+            Measure::Tipped => "destinations overloaded per day",
+            Measure::CallsPerEvent => "calls per client event",
+            Measure::RoundsPerEvent => "rounds of decisions per client event",
+            Measure::RefusedShare => "share of calls rejected",
             Measure::FailedShare => "share of calls failed",
-            Measure::MostHeld => "most events held at once",
+            Measure::MostHeld => "most events pending at once",
             Measure::LateShare => "share of the payoff lost to lateness",
-            Measure::Rules => "breaches of rules, a day",
+            Measure::Rules => "violations of invariants per day",
         }
     }
 }
@@ -91,12 +92,12 @@
 
 impl Experiment {
     pub fn read(text: &Text) -> Result<Experiment, String> {
-        let experiment: Experiment = text.holds()?;
+        let experiment: Experiment = text.deserialize()?;
         if experiment.seeds == 0 {
-            return Err(text.wrong("seeds", "0 is not allowed, 1 or more is"));
+            return Err(text.wrong("seeds", "0 is not allowed; must be 1 or more"));
         }
         if experiment.variants.is_empty() {
-            return Err(text.wrong("variants", "one [[variants]] at least is needed"));
+            return Err(text.wrong("variants", "at least one [[variants]] is required"));
         }
         for (at, variant) in experiment.variants.iter().enumerate() {
             if experiment.variants[..at]
@@ -104,14 +105,14 @@
                 .any(|other| other.name == variant.name)
             {
                 let key = format!("variants[{at}].name");
-                return Err(text.wrong(&key, &format!("{:?} is there twice", variant.name)));
+                return Err(text.wrong(&key, &format!("{:?} is listed twice", variant.name)));
             }
         }
         for (at, sweep) in experiment.sweep.iter().enumerate() {
             if sweep.values.is_empty() {
                 return Err(text.wrong(
                     &format!("sweep[{at}].values"),
-                    "one value at least is needed",
+                    "at least one value is required",
                 ));
             }
         }
--- a/forwarder/config/src/fanout.rs
+++ b/forwarder/config/src/fanout.rs
@@ -1,5 +1,5 @@
-//! The section `[fanout]` of the fleet file: lists of destinations, cohorts and what is kept. Without it
-//! nothing is broadcast. Each fault is told with its key and line.
+//! The section `[fanout]` of the fleet file: lists of destinations, cohorts and retention limits. Without the
+//! section nothing is broadcast. Each error names its key and line.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,43 +7,43 @@
 use plankhill_fanout::{Bounds, Layout, ListName};
 use serde::Deserialize;
 
-use crate::fields::Plain;
+use crate::fields::ConfigResult;
 use crate::fleet::FleetConfig;
 use crate::tables::Text;
 
-/// The most cohorts, and the most subscribers of all lists together: each is looked at every second.
-const COHORTS: u32 = 1024;
-const SUBSCRIBERS: usize = 100_000;
-/// Bytes of a list's name: it stands in a request's path.
-const LONGEST: usize = 64;
+/// Limits on the cohorts and on the subscribers of all lists together: each of them is checked every second.
+const MAX_COHORTS: u32 = 1024;
+const MAX_SUBSCRIBERS: usize = 100_000;
+/// The limit on the bytes of a list's name, which is part of a request's path.
+const MAX_LIST_NAME_BYTES: usize = 64;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Section {
     lists: BTreeMap<String, Vec<u64>>,
-    /// Groups of subscribers, each served by one instance; about as many as instances serve well.
+    /// Groups of subscribers, each served by one instance. About as many as there are instances works well.
     #[serde(default = "three")]
     cohorts: u32,
-    /// Of these for slow subscribers; 0: none is regrouped.
+    /// The number of these cohorts that are for slow subscribers; 0: no subscriber is regrouped.
     #[serde(default = "one")]
     slow_cohorts: u32,
-    /// Copies of one subscriber that its instance works on at a time.
+    /// Copies for one subscriber that its instance has in progress at a time.
     #[serde(default = "two")]
     window: usize,
-    /// The same for a subscriber among the slow ones.
+    /// The same for a slow subscriber.
     #[serde(default = "eight")]
     slow_window: usize,
-    /// Copies.
-    #[serde(default = "of_one")]
+    /// Limits on the retained copies, for one subscriber and for all subscribers.
+    #[serde(default = "default_keep_for_one")]
     keep_for_one: usize,
-    #[serde(default = "of_all")]
+    #[serde(default = "default_keep_in_all")]
     keep_in_all: usize,
     #[serde(default = "thousand")]
     broadcasts: usize,
-    /// Megabytes of bodies.
-    #[serde(default = "bodies")]
+    /// Megabytes of retained bodies.
+    #[serde(default = "default_keep_mb")]
     keep_mb: f64,
-    /// Copies that one instance works on at a time.
+    /// Copies that one instance has in progress at a time.
     #[serde(default = "thousand")]
     room: usize,
     #[serde(default = "four")]
@@ -70,28 +70,28 @@
 fn twenty() -> usize {
     20
 }
-fn of_one() -> usize {
+fn default_keep_for_one() -> usize {
     64
 }
-fn of_all() -> usize {
+fn default_keep_in_all() -> usize {
     100_000
 }
 fn thousand() -> usize {
     1000
 }
-fn bodies() -> f64 {
+fn default_keep_mb() -> f64 {
     16.0
 }
 
-/// The first step of a broadcast's path, which no traffic type may be named then.
+/// The first segment of a broadcast's path. No traffic type may have this name when lists are configured.
 pub const BROADCAST: &str = "broadcast";
 
-/// What the file that `PROXY_FLEET` names says, if there is one with such a section.
-pub fn of_fleet(
+/// Reads the section from the file that `PROXY_FLEET` names, if there is a file with such a section.
+pub fn from_fleet(
     variable: impl Fn(&str) -> Option<String>,
     fleet: Option<&FleetConfig>,
     traffic: &[String],
-) -> Plain<Option<Layout>> {
+) -> ConfigResult<Option<Layout>> {
     let (Some(path), Some(fleet)) = (variable("PROXY_FLEET"), fleet) else {
         return Ok(None);
     };
@@ -102,27 +102,28 @@
     if fleet.voters.is_empty() {
         return Err(file.wrong(
             "fanout",
-            "needs the control group, and control.voters names none",
+            "requires the control group, but control.voters is empty",
         ));
     }
     if !fleet.pools.is_empty() {
-        // The control group keeps the book of leases or broadcasts, not both yet.
-        return Err(file.wrong("fanout", "not together with a section pools"));
+        // The control group's log records either leases or broadcasts; both together are not supported yet.
+        return Err(file.wrong("fanout", "cannot be combined with a section pools"));
     }
     if fleet.replication.is_some() {
-        // Who inherits a record would deliver copies of which the control group does not know that he has them.
-        return Err(file.wrong("fanout", "not together with a section copies"));
+        // An instance that takes over a record would deliver copies that the control group does not know to be at
+        // that instance.
+        return Err(file.wrong("fanout", "cannot be combined with a section copies"));
     }
     if traffic.iter().any(|name| name == BROADCAST) {
         return Err(format!(
-            "settings.profiles: {BROADCAST:?} is the path of broadcasts where lists are named"
+            "settings.profiles: {BROADCAST:?} is the path of broadcasts when lists are configured"
         ));
     }
     Ok(Some(layout))
 }
 
-/// None if the file has no such section.
-pub fn fanout(file: &Text) -> Plain<Option<Layout>> {
+/// Reads the section; `None` if the file has no such section.
+pub fn fanout(file: &Text) -> ConfigResult<Option<Layout>> {
     let Some(value) = file.table().get("fanout") else {
         return Ok(None);
     };
@@ -142,7 +143,7 @@
                 .join(" "),
         )
     })?;
-    checked(section)
+    check(section)
         .map(Some)
         .map_err(|(key, why)| file.wrong(&format!("fanout.{key}"), &why))
 }
@@ -159,7 +160,7 @@
     }
 }
 
-fn checked(section: Section) -> Result<Layout, Fault> {
+fn check(section: Section) -> Result<Layout, Fault> {
     let Section {
         cohorts,
         slow_cohorts,
@@ -171,8 +172,13 @@
         room,
         ..
     } = section;
-    within("cohorts", cohorts as usize, 1, COHORTS as usize)?;
-    within("slow_cohorts", slow_cohorts as usize, 0, COHORTS as usize)?;
+    within("cohorts", cohorts as usize, 1, MAX_COHORTS as usize)?;
+    within(
+        "slow_cohorts",
+        slow_cohorts as usize,
+        0,
+        MAX_COHORTS as usize,
+    )?;
     within("keep_for_one", keep_for_one, 1, 10_000)?;
     within("window", window, 1, keep_for_one)?;
     within("slow_window", slow_window, 1, keep_for_one)?;
@@ -180,7 +186,7 @@
     within("keep_in_all", keep_in_all, 1, 10_000_000)?;
     within("moves_at_once", section.moves_at_once, 1, 1000)?;
     within("moves_a_minute", section.moves_a_minute, 1, 10_000)?;
-    // Else the slowest alone could have others' broadcasts refused.
+    // With fewer, the slowest subscriber alone could cause broadcasts to other subscribers to be refused.
     within("broadcasts", broadcasts, 2 * keep_for_one, 1_000_000)?;
     if !(0.1..=4096.0).contains(&section.keep_mb) {
         return Err((
@@ -209,34 +215,35 @@
 }
 
 fn lists(
-    told: BTreeMap<String, Vec<u64>>,
+    configured: BTreeMap<String, Vec<u64>>,
     keep_in_all: usize,
 ) -> Result<Vec<(ListName, Vec<DestinationId>)>, Fault> {
     let mut lists = Vec::new();
     let mut all = BTreeSet::new();
-    if told.is_empty() {
-        return Err(("lists".into(), "none is named".into()));
+    if configured.is_empty() {
+        return Err(("lists".into(), "is empty".into()));
     }
-    for (name, members) in told {
-        let fault = |why: String| (format!("lists.{name}"), why);
+    for (name, members) in configured {
+        let error = |why: String| (format!("lists.{name}"), why);
         let plain = |b: u8| b.is_ascii_alphanumeric() || matches!(b, b'-' | b'_');
-        if name.is_empty() || name.len() > LONGEST || !name.bytes().all(plain) {
-            let why = format!("{name:?} is not 1 to {LONGEST} letters, digits, - and _");
+        if name.is_empty() || name.len() > MAX_LIST_NAME_BYTES || !name.bytes().all(plain) {
+            let why =
+                format!("{name:?} is not 1 to {MAX_LIST_NAME_BYTES} letters, digits, - and _");
             return Err(("lists".into(), why));
         }
         if members.is_empty() {
-            return Err(fault("names no destination".into()));
+            return Err(error("names no destination".into()));
         }
         if members.len() > keep_in_all {
             let why = format!(
                 "{} destinations, but keep_in_all is {keep_in_all}",
                 members.len()
             );
-            return Err(fault(why));
+            return Err(error(why));
         }
         let mut own = BTreeSet::new();
         if let Some(twice) = members.iter().find(|member| !own.insert(**member)) {
-            return Err(fault(format!("destination {twice} stands twice")));
+            return Err(error(format!("destination {twice} is listed twice")));
         }
         all.extend(own);
         lists.push((
@@ -244,10 +251,10 @@
             members.into_iter().map(DestinationId).collect(),
         ));
     }
-    match all.len() > SUBSCRIBERS {
+    match all.len() > MAX_SUBSCRIBERS {
         true => Err((
             "lists".into(),
-            format!("{} destinations, over {SUBSCRIBERS}", all.len()),
+            format!("{} destinations, the limit is {MAX_SUBSCRIBERS}", all.len()),
         )),
         false => Ok(lists),
     }
--- a/forwarder/config/src/fleet.rs
+++ b/forwarder/config/src/fleet.rs
@@ -1,32 +1,32 @@
-//! The file that `PROXY_FLEET` names: the instances of a fleet, the spans between them and what they keep for
-//! each other. Each fault is told with its key and line.
+//! The fleet file, which `PROXY_FLEET` names: the instances of a fleet, their timing, and what they store for
+//! each other. Each error names its key and line.
 
 use std::collections::BTreeSet;
 
 use serde::Deserialize;
 use toml::Spanned;
 
-use crate::fields::Plain;
+use crate::fields::ConfigResult;
 
 mod checks;
 mod kinds;
 
+use kinds::{CopiesSection, InstanceSection, TimingSection};
 pub use kinds::{Instance, ReplicationConfig, Timing};
-use kinds::{Kept, Row, Spans};
 
-/// All that the file says. `pools` and `fanout` are read by those that they concern.
+/// The content of the fleet file. The modules `pools` and `fanout` read the sections of their names.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FleetConfig {
     pub name: String,
     pub instances: Vec<Instance>,
     pub timing: Timing,
-    /// None: no record is copied.
+    /// `None`: records are not replicated.
     pub replication: Option<ReplicationConfig>,
-    /// Names of the control group's voters; the first founds it when told so.
+    /// Names of the control group's voters. The first one creates the group if `found` is set.
     pub voters: Vec<String>,
     pub pools: toml::Table,
     pub fanout: toml::Table,
-    /// `PROXY_FLEET_FOUND=yes`: the first voter may found the control group.
+    /// `PROXY_FLEET_FOUND=yes`: the first voter may create the control group.
     pub found: bool,
 }
 
@@ -40,10 +40,10 @@
 #[serde(deny_unknown_fields)]
 struct File {
     fleet: Spanned<String>,
-    instances: Spanned<Vec<Spanned<Row>>>,
-    timing: Option<Spanned<Spans>>,
-    copies: Option<Spanned<Kept>>,
-    control: Option<Spanned<Control>>,
+    instances: Spanned<Vec<Spanned<InstanceSection>>>,
+    timing: Option<Spanned<TimingSection>>,
+    copies: Option<Spanned<CopiesSection>>,
+    control: Option<Spanned<ControlSection>>,
     #[serde(default)]
     pools: toml::Table,
     #[serde(default)]
@@ -52,12 +52,16 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Control {
+struct ControlSection {
     voters: Vec<Spanned<String>>,
 }
 
-/// What the variables name: None where `PROXY_FLEET` is not set. `name` is this forwarder's own.
-pub fn fleet(variable: impl Fn(&str) -> Option<String>, name: &str) -> Plain<Option<FleetConfig>> {
+/// Reads the fleet file that `PROXY_FLEET` names; `None` if the variable is not set. `name` is the name of this
+/// forwarder, which must be an instance of the fleet.
+pub fn fleet(
+    variable: impl Fn(&str) -> Option<String>,
+    name: &str,
+) -> ConfigResult<Option<FleetConfig>> {
     let Some(path) = variable("PROXY_FLEET") else {
         return Ok(None);
     };
@@ -72,13 +76,13 @@
     match fleet.instance(name) {
         Some(_) => Ok(Some(fleet)),
         None => Err(format!(
-            "{path}: instances: none is named {name:?}, as PROXY_NAME or name says"
+            "{path}: instances: none is named {name:?}, the name given by PROXY_NAME or `name`"
         )),
     }
 }
 
-/// The file's text, checked.
-pub fn read(text: &str) -> Plain<FleetConfig> {
+/// Parses and checks the text of a fleet file.
+pub fn read(text: &str) -> ConfigResult<FleetConfig> {
     let file: File = toml::from_str(text).map_err(|e| match e.span() {
         Some(span) => format!("line {}: {}", checks::line(text, span.start), e.message()),
         None => e.message().to_owned(),
@@ -91,15 +95,16 @@
     if instances.is_empty() {
         return Err(fault(
             file.instances.span().start,
-            "instances: none is named".into(),
+            "instances: is empty".into(),
         ));
     }
     let at = file.timing.as_ref().map_or(0, |t| t.span().start);
     let timing = checks::timing(&file.timing.map(Spanned::into_inner).unwrap_or_default());
     let timing = timing.map_err(|why| fault(at, format!("timing.{why}")))?;
-    let copies = file.copies.map(|kept| {
-        let at = kept.span().start;
-        checks::copies(kept.get_ref(), &instances).map_err(|why| fault(at, format!("copies.{why}")))
+    let copies = file.copies.map(|section| {
+        let at = section.span().start;
+        checks::copies(section.get_ref(), &instances)
+            .map_err(|why| fault(at, format!("copies.{why}")))
     });
     let mut voters = Vec::new();
     let mut seen = BTreeSet::new();
@@ -112,11 +117,14 @@
         if !instances.iter().any(|i| i.name == name) {
             return Err(fault(
                 at,
-                format!("control.voters: {name:?} is no instance"),
+                format!("control.voters: {name:?} is not an instance"),
             ));
         }
         if !seen.insert(name.clone()) {
-            return Err(fault(at, format!("control.voters: {name:?} stands twice")));
+            return Err(fault(
+                at,
+                format!("control.voters: {name:?} is listed twice"),
+            ));
         }
         voters.push(name);
     }
--- a/forwarder/config/src/fleet/checks.rs
+++ b/forwarder/config/src/fleet/checks.rs
@@ -1,15 +1,17 @@
-//! What a fleet file must keep to, beyond its form.
+//! Checks of a fleet file's values, beyond their types.
 
-use crate::fields::Plain;
+use crate::fields::ConfigResult;
 use toml::Spanned;
 
-use super::kinds::{Instance, Kept, ReplicationConfig, Row, Spans, Timing};
+use super::kinds::{
+    CopiesSection, Instance, InstanceSection, ReplicationConfig, Timing, TimingSection,
+};
 
-/// The most instances of a fleet, and the most keepers of a record: frames and votes go to each.
-const INSTANCES: usize = 256;
-const KEEPERS: usize = 6;
+/// Limits on the instances of a fleet and on the keepers of a record: frames and votes go to each of them.
+const MAX_INSTANCES: usize = 256;
+const MAX_KEEPERS: usize = 6;
 
-/// Lines are counted from one.
+/// The line of a byte offset, counted from 1.
 pub(super) fn line(text: &str, at: usize) -> usize {
     text.as_bytes()[..at.min(text.len())]
         .iter()
@@ -19,9 +21,9 @@
 }
 
 pub(super) fn instances(
-    rows: &[Spanned<Row>],
+    rows: &[Spanned<InstanceSection>],
     fault: &dyn Fn(usize, String) -> String,
-) -> Plain<Vec<Instance>> {
+) -> ConfigResult<Vec<Instance>> {
     let mut all: Vec<Instance> = Vec::new();
     for row in rows {
         let (at, row) = (row.span().start, row.get_ref());
@@ -33,7 +35,7 @@
             )));
         }
         if row.machine.is_empty() {
-            return Err(within(format!("machine: {:?} has none", row.name)));
+            return Err(within(format!("machine: is empty for {:?}", row.name)));
         }
         let address = row.address.get_ref();
         let wrong = |why: &str| {
@@ -46,14 +48,14 @@
             .parse()
             .map_err(|_| wrong("is not an address with a port"))?;
         if all.iter().any(|i| i.name == row.name) {
-            return Err(within(format!("name: {:?} stands twice", row.name)));
+            return Err(within(format!("name: {:?} is listed twice", row.name)));
         }
         if all.iter().any(|i| i.address == address) {
-            return Err(wrong("stands twice"));
+            return Err(wrong("is listed twice"));
         }
-        if all.len() == INSTANCES {
+        if all.len() == MAX_INSTANCES {
             return Err(within(format!(
-                "name: {:?} is over the {INSTANCES} that a fleet may have",
+                "name: {:?} exceeds the limit of {MAX_INSTANCES} instances",
                 row.name
             )));
         }
@@ -68,14 +70,15 @@
     Ok(all)
 }
 
-/// A voter's promise to its leader must outlast a stall and the way of a heartbeat, or no owner ever holds.
-pub(super) fn timing(spans: &Spans) -> Plain<Timing> {
-    let Spans {
+/// The time for which a voter promises its vote to its leader must outlast a stall plus the delay of a heartbeat;
+/// otherwise no ownership is ever valid.
+pub(super) fn timing(section: &TimingSection) -> ConfigResult<Timing> {
+    let TimingSection {
         heartbeat_ms: heartbeat,
         election_ms: election,
         stall_ms: stall,
         replace_ms: replace,
-    } = *spans;
+    } = *section;
     if !(10.0..=1000.0).contains(&heartbeat) {
         return Err(format!(
             "heartbeat_ms: {heartbeat} is not within 10 and 1000"
@@ -102,11 +105,14 @@
     })
 }
 
-pub(super) fn copies(kept: &Kept, instances: &[Instance]) -> Plain<ReplicationConfig> {
-    let keepers = kept.keepers;
-    if keepers == 0 || keepers % 2 == 1 || keepers > KEEPERS {
+pub(super) fn copies(
+    section: &CopiesSection,
+    instances: &[Instance],
+) -> ConfigResult<ReplicationConfig> {
+    let keepers = section.keepers;
+    if keepers == 0 || keepers % 2 == 1 || keepers > MAX_KEEPERS {
         return Err(format!(
-            "keepers: {keepers} is not 2, 4 or {KEEPERS}: an owner and 2f keepers bear f losses"
+            "keepers: {keepers} is not 2, 4 or {MAX_KEEPERS}: an owner and 2f keepers tolerate f losses"
         ));
     }
     for one in instances {
@@ -127,7 +133,7 @@
     };
     Ok(ReplicationConfig {
         keepers,
-        memory: bytes("memory_mb", kept.memory_mb)?,
-        disk: bytes("disk_mb", kept.disk_mb)?,
+        memory: bytes("memory_mb", section.memory_mb)?,
+        disk: bytes("disk_mb", section.disk_mb)?,
     })
 }
--- a/forwarder/config/src/fleet/kinds.rs
+++ b/forwarder/config/src/fleet/kinds.rs
@@ -1,4 +1,4 @@
-//! The parts of a fleet, as told and as the file writes them.
+//! The types of a fleet's configuration, and the sections of the file they are read from.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,42 @@
 use serde::Deserialize;
 use toml::Spanned;
 
-/// A forwarder of the fleet, as its file names it.
+/// A forwarder of the fleet, as the fleet file describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Instance {
     pub name: String,
     pub address: SocketAddr,
     pub machine: String,
-    /// Empty where the file names none.
+    /// Empty if the file names no zone.
     pub zone: String,
 }
 
-/// Spans in milliseconds, checked against each other.
+/// Durations in milliseconds, checked against each other.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Timing {
     pub heartbeat: Ms,
-    /// What a voter promises to its leader: no vote for another within it.
+    /// A voter promises its leader not to vote for another candidate within this time.
     pub election: Ms,
-    /// A process that stood still for longer is ended by the kernel.
+    /// A process that stalls for longer than this is killed by the kernel.
     pub stall: Ms,
-    /// An instance that can't be reached for so long is replaced in its groups.
+    /// An instance that has been unreachable for this long is replaced in its groups.
     pub replace: Ms,
 }
 
-/// What an instance keeps for others.
+/// What an instance stores for other instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicationConfig {
-    /// For each record: f failures are borne by 2f.
+    /// Keepers of each record: 2f keepers tolerate f failures.
     pub keepers: usize,
-    /// Bytes of memory and disk for the records of others; at them appends are refused, nothing is dropped.
+    /// Bytes of memory and disk for the records of other instances. At either limit appends are refused; nothing
+    /// is dropped.
     pub memory: u64,
     pub disk: u64,
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Row {
+pub(super) struct InstanceSection {
     pub name: String,
     pub address: Spanned<String>,
     pub machine: String,
@@ -50,16 +51,16 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub(super) struct Spans {
+pub(super) struct TimingSection {
     pub heartbeat_ms: f64,
     pub election_ms: f64,
     pub stall_ms: f64,
     pub replace_ms: f64,
 }
 
-impl Default for Spans {
+impl Default for TimingSection {
     fn default() -> Self {
-        Spans {
+        TimingSection {
             heartbeat_ms: 100.0,
             election_ms: 1000.0,
             stall_ms: 600.0,
@@ -70,18 +71,18 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-pub(super) struct Kept {
+pub(super) struct CopiesSection {
     pub keepers: usize,
-    #[serde(default = "of_memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: f64,
-    #[serde(default = "of_disk")]
+    #[serde(default = "default_disk_mb")]
     pub disk_mb: f64,
 }
 
-fn of_memory() -> f64 {
+fn default_memory_mb() -> f64 {
     256.0
 }
 
-fn of_disk() -> f64 {
+fn default_disk_mb() -> f64 {
     1024.0
 }
--- a/forwarder/config/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! The one place that reads, checks and defaults what a forwarder is told: the settings that both wires
-//! share, and `config.json` with the `PROXY_*` variables. Every message names the faulty key.
+//! Reads, checks and defaults the configuration of a forwarder: the settings, which both wire formats share, and
+//! `config.json` with the `PROXY_*` variables. Every error message names the faulty key.
 
 pub mod convert;
 mod decisions;
@@ -20,44 +20,45 @@
 pub use decisions::{decision_config, order_key, Names, LEFT};
 use fields::*;
 
-/// All that a forwarder on sockets is told at its start.
+/// The configuration of a forwarder on sockets.
 pub struct ForwarderConfig {
     pub name: String,
     pub listen_address: SocketAddr,
-    /// Where operators call, if they do.
+    /// The address of the operators' interface, if there is one.
     pub admin_address: Option<SocketAddr>,
     pub discovery_address: SocketAddr,
     pub state_folder: PathBuf,
     pub max_memory_bytes: u64,
     pub max_sockets: usize,
     pub max_disk_bytes: u64,
-    /// The list of targets as it was last had, in discovery's form.
+    /// The endpoint list as last known, in the format of the discovery service.
     pub known_endpoints: Value,
     pub decisions: DecisionConfig,
     pub names: Names,
     pub connect_timeout: Ms,
-    /// Connections that stand idle for so long are closed: before the target does.
+    /// Connections that have been idle for this long are closed, before the target closes them.
     pub idle_timeout: Ms,
-    /// After a request to end, clients still come for less than `closing_least`, and the platform waits for
-    /// a little more than `closing_time`.
+    /// After a shutdown request, clients still connect for less than `min_shutdown_duration`, and the platform
+    /// waits slightly longer than `shutdown_timeout`.
     pub min_shutdown_duration: Ms,
     pub shutdown_timeout: Ms,
     pub log_level: slog::Level,
-    /// Whether a new version may take over from this process (`PROXY_HANDOVER`, `on` unless `off`). Off where
-    /// the platform gives no Unix socket: the process then starts and ends as one on its own.
+    /// Whether a new version may take over from this process (`PROXY_HANDOVER`, `on` unless `off`). To be turned
+    /// off where the platform provides no Unix socket: the process then starts and ends without a handover.
     pub hot_restart: bool,
-    /// The fleet that it is an instance of (`PROXY_FLEET`): None, and nothing of it is started.
+    /// The fleet that this forwarder is an instance of (`PROXY_FLEET`); `None`: the fleet's components are not
+    /// started.
     pub fleet: Option<fleet::FleetConfig>,
-    /// Lists that are broadcast to: None without a section `[fanout]` of the fleet's file.
+    /// The lists that broadcasts go to; `None` without a section `[fanout]` in the fleet file.
     pub fanout: Option<plankhill_fanout::Layout>,
-    /// The policy for connections that the fleet file names: None, and nothing of it is started.
+    /// The quota policy for connections that the fleet file names; `None`: connection quotas are not started.
     pub connection_quotas: Option<pools::QuotaPolicySource>,
-    /// What the file says that only a new start heeds.
-    fixed: Vec<(String, Value)>,
+    /// The file's keys and values whose changes take effect only with a restart.
+    restart_only: Vec<(String, Value)>,
 }
 
 impl ForwarderConfig {
-    /// Traffic types, kinds and zones, whose positions the decisions keep.
+    /// The names of traffic types, kinds and zones. The decision module refers to them by position.
     pub fn all_names(&self) -> [Vec<String>; 3] {
         [
             self.names.traffic.clone(),
@@ -66,13 +67,15 @@
         ]
     }
 
-    /// The keys of the file with another value than before that take effect only with a new start.
+    /// The keys of the file that differ from `before` and take effect only with a restart.
     pub fn needs_restart<'a>(
         &'a self,
         before: &'a ForwarderConfig,
     ) -> impl Iterator<Item = &'a str> {
         let differs = |a: &'a ForwarderConfig, b: &'a ForwarderConfig| {
-            a.fixed.iter().filter(|pair| !b.fixed.contains(pair))
+            a.restart_only
+                .iter()
+                .filter(|pair| !b.restart_only.contains(pair))
         };
         let names = differs(self, before)
             .chain(differs(before, self))
@@ -81,8 +84,8 @@
     }
 }
 
-/// Reads the file that `PROXY_CONFIG` names; the other `PROXY_*` variables go before what it says.
-pub fn load_config(variable: impl Fn(&str) -> Option<String>) -> Plain<ForwarderConfig> {
+/// Reads the file that `PROXY_CONFIG` names; the other `PROXY_*` variables take precedence over the file.
+pub fn load_config(variable: impl Fn(&str) -> Option<String>) -> ConfigResult<ForwarderConfig> {
     let path = variable("PROXY_CONFIG").ok_or("PROXY_CONFIG: is not set")?;
     let bytes =
         std::fs::read(&path).map_err(|e| format!("PROXY_CONFIG: {path} cannot be read: {e}"))?;
@@ -91,31 +94,35 @@
     let root = root
         .as_object()
         .ok_or_else(|| format!("{path}: not an object"))?;
-    read_told(root, variable).map_err(|e| format!("{path}: {e}"))
+    parse_config(root, variable).map_err(|e| format!("{path}: {e}"))
 }
 
-/// Reads the file anew. Its `discovery` goes before the variable now, which a process cannot be given anew.
-pub fn reload_config(variable: impl Fn(&str) -> Option<String>) -> Plain<ForwarderConfig> {
+/// Reads the file again. Its `discovery` takes precedence over `PROXY_DISCOVERY` on a reload, because the
+/// environment of a running process cannot be changed.
+pub fn reload_config(variable: impl Fn(&str) -> Option<String>) -> ConfigResult<ForwarderConfig> {
     load_config(|name| variable(name).filter(|_| name != "PROXY_DISCOVERY"))
 }
 
-fn read_told(root: &Object, variable: impl Fn(&str) -> Option<String>) -> Plain<ForwarderConfig> {
-    let either = |name: &str, field: &str| -> Plain<(String, String)> {
+fn parse_config(
+    root: &Object,
+    variable: impl Fn(&str) -> Option<String>,
+) -> ConfigResult<ForwarderConfig> {
+    let either = |name: &str, field: &str| -> ConfigResult<(String, String)> {
         match variable(name) {
             Some(value) => Ok((name.to_owned(), value)),
             None => Ok((field.to_owned(), text(root, field)?.to_owned())),
         }
     };
-    let address = |(name, value): (String, String)| -> Plain<SocketAddr> {
+    let address = |(name, value): (String, String)| -> ConfigResult<SocketAddr> {
         value
             .parse()
             .map_err(|_| format!("{name}: {value:?} is not an address with a port"))
     };
     let listen = address(either("PROXY_LISTEN", "listen")?)?;
-    let there = variable("PROXY_MGMT").is_some() || present(root, "mgmt").is_some();
-    let mgmt = there.then(|| either("PROXY_MGMT", "mgmt")).transpose()?;
+    let has_mgmt = variable("PROXY_MGMT").is_some() || present(root, "mgmt").is_some();
+    let mgmt = has_mgmt.then(|| either("PROXY_MGMT", "mgmt")).transpose()?;
     let mgmt = mgmt.map(|(name, value)| match address((name.clone(), value))? {
-        // Any port is another one each time.
+        // Port 0 stands for a different free port each time.
         same if same == listen && same.port() != 0 => {
             Err(format!("{name}: {same} is the clients' address"))
         }
@@ -125,7 +132,7 @@
     let seed =
         u64::from_str_radix(seed, 16).map_err(|_| format!("seed: {seed:?} is not hexadecimal"))?;
     let limits = object(root, "limits")?;
-    let limit = |field: &str, least: f64| -> Plain<f64> {
+    let limit = |field: &str, least: f64| -> ConfigResult<f64> {
         let value = number(limits, field).map_err(|e| format!("limits.{e}"))?;
         Some(value)
             .filter(|v| *v >= least)
@@ -133,7 +140,7 @@
     };
     let settings = object(root, "settings")?;
     let allowed = object(settings, "allowed").map_err(|e| format!("settings.{e}"))?;
-    let span = |field: &str, default: Ms| -> Plain<Ms> {
+    let duration = |field: &str, default: Ms| -> ConfigResult<Ms> {
         let given = present(allowed, field)
             .map(|_| time(allowed, field))
             .transpose();
@@ -141,9 +148,9 @@
             .map_err(|e| format!("settings.allowed.{e}"))?
             .unwrap_or(default))
     };
-    let (mut terms, names) = decision_config(settings, "settings", seed)?;
-    // A call on sockets carries one event (`POST /receive`), whatever a call of the simulator may.
-    terms
+    let (mut decisions, names) = decision_config(settings, "settings", seed)?;
+    // A call on sockets carries one event (`POST /receive`), regardless of the limit for the simulator's calls.
+    decisions
         .destination_kinds
         .iter_mut()
         .for_each(|kind| kind.max_events_per_call = 1);
@@ -155,7 +162,7 @@
     };
     Ok(ForwarderConfig {
         connection_quotas: pools,
-        fanout: fanout::of_fleet(&variable, fleet.as_ref(), &names.traffic)?,
+        fanout: fanout::from_fleet(&variable, fleet.as_ref(), &names.traffic)?,
         fleet,
         name,
         listen_address: listen,
@@ -168,10 +175,10 @@
         max_sockets: limit("sockets", 64.0)? as usize,
         max_disk_bytes: (limit("disk_mb", 0.25)? * 1e6) as u64,
         known_endpoints: present(root, "known").cloned().unwrap_or_default(),
-        decisions: terms,
+        decisions,
         names,
-        connect_timeout: span("connectTimeoutUs", 1500.0)?,
-        idle_timeout: 0.9 * span("keepaliveUs", 15_000.0)?,
+        connect_timeout: duration("connectTimeoutUs", 1500.0)?,
+        idle_timeout: 0.9 * duration("keepaliveUs", 15_000.0)?,
         min_shutdown_duration: 1_000.0,
         shutdown_timeout: 3_400.0,
         hot_restart: match variable("PROXY_HANDOVER").as_deref() {
@@ -185,11 +192,11 @@
                 .parse()
                 .map_err(|()| format!("PROXY_LOG: {word:?} is not a log level"))?,
         },
-        // The list goes on from what discovery said since.
-        fixed: {
-            let moving = |key: &str| matches!(key, "discovery" | "known");
+        // `discovery` can change with a reload; `known` is out of date once the discovery service has sent updates.
+        restart_only: {
+            let reloadable = |key: &str| matches!(key, "discovery" | "known");
             root.iter()
-                .filter(|(key, _)| !moving(key))
+                .filter(|(key, _)| !reloadable(key))
                 .map(|(k, v)| (k.clone(), v.clone()))
                 .collect()
         },
--- a/forwarder/config/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -1,6 +1,6 @@
-//! A scenario of the emulator: a day with its destinations, clients, forwarders and troubles. Times are
-//! milliseconds, shares lie between 0 and 1, rates are a second's. What each key means and what it defaults
-//! to stands beside it; `docs/emulator.md` says what the model makes of it.
+//! A scenario of the emulator: a simulated day with its destinations, clients, forwarders and faults. Times are in
+//! milliseconds, shares are between 0 and 1, rates are per second. Each key is documented and defaulted here;
+//! `docs/emulator.md` describes how the model uses it.
 
 mod check;
 
@@ -12,12 +12,12 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// One sentence on what the day shows.
+    /// One sentence on what the scenario demonstrates.
     pub about: String,
     pub length: Ms,
     #[serde(default)]
     pub seed: u64,
-    /// A scenario that would need more memory than this is refused before it starts.
+    /// A scenario whose estimated memory exceeds this is refused before it starts.
     #[serde(default = "memory_mb")]
     pub memory_mb: f64,
     #[serde(default)]
@@ -31,12 +31,13 @@
     pub destinations: Vec<Group>,
     #[serde(default, rename = "troubles")]
     pub faults: Vec<Fault>,
-    /// Only so many of the troubles, the first ones, are played: for sweeps over how many come together.
-    #[serde(default)]
-    pub troubles_played: Option<usize>,
+    /// Simulates at most this many faults, the first ones of the list: for sweeps over the number of simultaneous
+    /// faults.
+    #[serde(default, rename = "troubles_played")]
+    pub max_faults: Option<usize>,
 }
 
-/// Who decides at the forwarders: the module, or a baseline to hold it against.
+/// What makes the decisions at the forwarders: the decision module, or a baseline to compare it with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decider {
@@ -65,24 +66,26 @@
 pub struct Forwarders {
     pub count: usize,
     pub decisions: Decider,
-    /// What a baseline gives each call; the module knows better.
+    /// A baseline's timeout of each call; the module computes its own timeouts.
     pub time_out: Ms,
     pub slots: usize,
-    /// Events held or with an unheard end; past it new ones are refused at the door.
+    /// The limit on events that are pending or whose completion is not acknowledged; further events are rejected at
+    /// submission.
     pub room: usize,
-    /// The shortest time between two rounds of one forwarder.
+    /// The shortest time between two event loop iterations of one forwarder.
     pub round: Ms,
-    /// Ends of events that were taken on earlier go by a notice, heard after so long.
+    /// The completion of an event that was accepted earlier goes by a notification, which is acknowledged after this
+    /// time.
     pub notice: Ms,
-    /// A change of the list is heard after a time drawn evenly from these two.
+    /// A change of the endpoint list reaches a forwarder after a delay drawn uniformly between these two.
     pub list_delay: [Ms; 2],
-    /// The share of changes that a hearing leaves out, to be heard with the next.
+    /// The share of changes that an update of the endpoint list leaves out; they come with the next update.
     pub list_partial: f64,
-    /// How long the layer before the forwarders goes on sending to a dead one.
+    /// How long the layer before the forwarders continues to send to a forwarder that is down.
     pub front_lag: Ms,
-    /// A process that ended in order is gone for so long.
+    /// The time between the end of a process that was shut down and the start of the next one.
     pub restart: Ms,
-    /// The time that a process asked to end has.
+    /// The time that a process has to shut down.
     pub closing: Ms,
 }
 
@@ -105,7 +108,7 @@
     }
 }
 
-/// What the forwarders are told of the rules and what they are allowed.
+/// The rules that the forwarders are configured with, and what they are allowed to do.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
@@ -117,11 +120,11 @@
     pub cold_share: f64,
     pub warm_after: Ms,
     pub tip_multiple: f64,
-    /// A cold destination tips when so long a time brought more than the multiple.
+    /// A lane that is warming up is overloaded when the load within this time exceeds `tip_multiple` of its capacity.
     pub tip_span: Ms,
-    /// And it then brought so many calls at least.
+    /// The least load within `tip_span`, in calls, that can overload a lane.
     pub tip_least: f64,
-    /// A destination that tipped is down for so long.
+    /// How long an overloaded lane is down.
     pub tipped: Ms,
 }
 
@@ -146,17 +149,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// Forwarders and targets are dealt out to the zones in turn.
+    /// Forwarders and targets are assigned to the zones in rotation.
     pub zones: Vec<String>,
-    /// One way, in one zone and between two.
+    /// The one-way latency, within one zone and between two zones.
     pub within: Ms,
     pub between: Ms,
-    /// The mean of what is added at random.
+    /// The mean of the random jitter that is added to the latency.
     pub jitter: Ms,
     /// The share of messages that never arrive.
     pub loss: f64,
     pub pairs: Vec<Pair>,
-    /// Until a connection counts as refused.
+    /// The time after which a connection attempt without a response counts as refused.
     pub connect_time_out: Ms,
 }
 
@@ -185,53 +188,56 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Clients {
-    /// Events a second over the whole day.
+    /// The mean number of events per second over `day`.
     pub rate: f64,
-    /// The exponent of the destinations' popularity; 0 is even.
+    /// The Zipf exponent of the destinations' popularity; 0 is uniform.
     #[serde(default = "one")]
     pub zipf: f64,
-    /// The share of arrivals that bring a clump, and the mean size of one.
+    /// The share of arrivals that bring a burst of events, and the mean size of a burst.
     #[serde(default)]
     pub clumps: f64,
     #[serde(default = "ten")]
     pub clump_size: f64,
-    /// The rate swings by this share over `day`.
+    /// The rate varies by this share over `day`.
     #[serde(default)]
     pub swing: f64,
     #[serde(default = "day")]
     pub day: Ms,
-    /// Order keys, and the exponent of their popularity.
+    /// The number of order keys, and the Zipf exponent of their popularity.
     #[serde(default = "keys")]
     pub keys: u64,
     #[serde(default = "one")]
     pub key_zipf: f64,
-    /// Destinations are dealt out to tenants in turn.
+    /// Destinations are assigned to tenants in rotation.
     #[serde(default = "tenants")]
     pub tenants: usize,
-    /// How often a dismissed event is handed in again, and after what mean pause without advice.
-    #[serde(default = "returns")]
+    /// How often a rejected event is submitted again, and the mean pause before that without a retry-after.
+    #[serde(default = "resubmissions")]
     pub returns: u32,
     #[serde(default = "pause")]
     pub pause: Ms,
-    /// What could not be handed in, or was lost with a machine, comes again after this.
+    /// An event that could not be submitted, or was lost with a machine, is submitted again after this time.
     #[serde(default = "again_after")]
     pub again_after: Ms,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Repeats {
-    Retriable,
-    Fingerprinted,
-    Binding,
+pub enum Idempotency {
+    #[serde(rename = "retriable")]
+    Idempotent,
+    #[serde(rename = "fingerprinted")]
+    Deduplicated,
+    #[serde(rename = "binding")]
+    NonIdempotent,
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
     pub name: String,
-    pub effect: Repeats,
-    /// For fingerprinted: how long a repeat is recognised, and whether in one zone only.
+    pub effect: Idempotency,
+    /// For `fingerprinted` events: how long a duplicate is recognized, and whether in one zone only.
     #[serde(default)]
     pub window: Ms,
     #[serde(default)]
@@ -244,7 +250,7 @@
     #[serde(default)]
     pub ordered: bool,
     pub share: f64,
-    /// Multiplies the time that a destination takes.
+    /// Multiplies a destination's service time.
     #[serde(default = "one")]
     pub work: f64,
 }
@@ -257,14 +263,14 @@
     pub count: usize,
     #[serde(default = "one_usize")]
     pub targets: usize,
-    /// The group's share of the traffic; shares are put in relation to their sum.
+    /// The group's share of the traffic, relative to the sum of all shares.
     #[serde(default = "one")]
     pub share: f64,
     #[serde(default)]
     pub routes_apart: bool,
     #[serde(default = "one_usize")]
     pub events_per_call: usize,
-    /// At each target: calls served at once, and how many more wait.
+    /// At each target: calls served concurrently, and the length of its queue.
     #[serde(default = "servers")]
     pub servers: usize,
     #[serde(default = "queue")]
@@ -273,8 +279,8 @@
     pub answer: Answer,
     #[serde(default)]
     pub limit: Limit,
-    /// Connections that a target takes, what a new one costs on top of the way there and back, and after
-    /// what time an idle one is dropped unseen. 0: no cap, no drop.
+    /// The limit on a target's connections, the time to set one up on top of the round trip, and the time after which
+    /// the target drops an idle connection without notice. 0: no limit, connections are not dropped.
     #[serde(default)]
     pub connections: usize,
     #[serde(default)]
@@ -289,7 +295,7 @@
     Fixed,
     Exponential,
     LogNormal,
-    /// Log-normal, but a share of the answers has a Pareto tail.
+    /// Log-normal, with a Pareto tail for a share of the answers.
     Tailed,
 }
 
@@ -303,7 +309,7 @@
     /// The share of answers from the tail, and the tail's exponent (over 1).
     pub tail: f64,
     pub alpha: f64,
-    /// How far targets differ: each has a factor drawn evenly from 1 - this to 1 + this.
+    /// How far targets differ: each has a factor drawn uniformly from 1 - `differ` to 1 + `differ`.
     pub differ: f64,
 }
 
@@ -330,21 +336,22 @@
     Concurrency,
 }
 
-/// What a destination, or each route where they are apart, takes before it refuses.
+/// The limit above which a destination rejects calls, or each of its routes if these are independent.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limit {
     pub kind: LimitKind,
-    /// Calls a second, a window, or at once.
+    /// Calls per second, per window, or in progress, depending on `kind`.
     pub calls: f64,
-    /// What a rate lets through at once.
+    /// The burst that a rate limit admits.
     pub burst: f64,
     pub window: Ms,
     pub refused_count: bool,
-    /// A refusal tells a wait: until the limit has room again, no shorter than this. 0: none is told.
+    /// The least retry-after of a rejection; the retry-after is the time until the limit admits calls again. 0:
+    /// rejections carry no retry-after.
     pub tells_wait: Ms,
-    /// A cold destination bears no more than the limit lets through, put in relation to its warmth, though
-    /// its answers do not slow down. Else it bears what its servers do.
+    /// Whether the load that a destination can handle while it warms up is bounded by the limit, scaled by how far
+    /// it has warmed up, although its answers do not slow down. Otherwise only its servers bound that load.
     pub bears_cold: bool,
 }
 
@@ -367,43 +374,44 @@
 pub enum FaultKind {
     /// Connections are refused.
     Down,
-    /// Calls are taken and never run or answered.
+    /// Calls are accepted, but never run or answered.
     Silent,
-    /// Calls run, and are answered too late for anyone.
+    /// Calls run, but are answered too late for every caller.
     Hung,
     /// Answers take `strength` times as long.
     Slow,
-    /// Down and up in turns of `every`.
+    /// Alternates between down and up, `every` milliseconds each.
     Flapping,
     /// A share `strength` of the calls is answered with an error, half of them after they ran.
     Erring,
-    /// A share `strength` of the calls is cut off, half of them after they ran.
+    /// A share `strength` of the calls is reset, half of them after they ran.
     Resetting,
     /// Limits and servers are multiplied by `strength`.
     LimitLowered,
-    /// Connections that stood idle are dead and nobody says so.
+    /// Idle connections are dead, without notice to either side.
     HalfOpen,
-    /// The answers to a share `strength` of the forwarders get lost.
+    /// The answers to a share `strength` of the forwarders are lost.
     CutOneWay,
-    /// Told to leave, gone after `every`; listed anew at the end.
+    /// Targets drain, are removed after `every`, and are listed again at the fault's end.
     Gone,
-    /// Each target in turn leaves for a new one.
+    /// The targets are replaced by new ones, one after another.
     Replaced,
-    /// The list stands still for the forwarders struck.
+    /// The affected forwarders receive no updates of the endpoint list.
     ListFrozen,
-    /// Each destination struck gets `strength` events within the trouble's length.
+    /// Each affected destination gets `strength` events within the fault's length.
     MassWake,
-    /// The tenants or destinations struck get `strength` times the whole rate on top.
+    /// The affected tenants or destinations get `strength` times the total rate in addition.
     Flood,
-    /// Clients come back `strength` times as often, and at once.
+    /// Clients submit a rejected event again `strength` times as often, after a short pause, whatever the
+    /// retry-after.
     RetryStorm,
-    /// The process dies; its folder is there when it starts again after `every`.
+    /// The process is killed and starts again after `every` with its folder intact.
     ForwarderKilled,
-    /// The machine is lost with all that it held.
+    /// The machine is lost with all its data.
     ForwarderLost,
-    /// Nothing is done for the trouble's length.
+    /// The process stalls for the fault's length, or for `every` if that is shorter.
     ForwarderStalled,
-    /// Asked to end, and started again.
+    /// The process is shut down and started again.
     ForwarderReplaced,
 }
 
@@ -417,17 +425,17 @@
     pub strength: f64,
     #[serde(default = "every")]
     pub every: Ms,
-    /// Forwarders struck by a trouble of theirs are struck one after another, so far apart.
+    /// A fault of forwarders strikes the affected forwarders one after another, this far apart.
     #[serde(default)]
     pub apart: Ms,
-    #[serde(default)]
-    pub whom: Whom,
+    #[serde(default, rename = "whom")]
+    pub scope: FaultScope,
 }
 
-/// Whom a trouble strikes. Each key narrows the choice; without any it strikes all.
+/// What a fault strikes. Each key narrows the selection; without any, the fault strikes everything.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Whom {
+pub struct FaultScope {
     /// Destinations of this group.
     pub group: Option<String>,
     pub tenant: Option<usize>,
@@ -439,7 +447,7 @@
     pub zone: Option<String>,
     /// A share of the targets of each destination: the first ones.
     pub targets: Option<f64>,
-    /// So many of the most used destinations (or of the forwarders).
+    /// This many of the most used destinations (or the first forwarders).
     pub first: Option<usize>,
 }
 
@@ -464,7 +472,7 @@
 fn tenants() -> usize {
     1
 }
-fn returns() -> u32 {
+fn resubmissions() -> u32 {
     2
 }
 fn pause() -> Ms {
@@ -491,11 +499,11 @@
             .fold(0.0, f64::max)
     }
 
-    /// Reads and checks. A message is one line with file, line, key and what is allowed.
+    /// Deserializes and checks a scenario. An error is one line with file, line, key and what is allowed.
     pub fn read(text: &Text) -> Result<Scenario, String> {
-        let mut scenario: Scenario = text.holds()?;
+        let mut scenario: Scenario = text.deserialize()?;
         check::check(&scenario).map_err(|(key, what)| text.wrong(&key, &what))?;
-        if let Some(most) = scenario.troubles_played {
+        if let Some(most) = scenario.max_faults {
             scenario.faults.truncate(most);
         }
         Ok(scenario)
--- a/forwarder/config/src/scenario/check.rs
+++ b/forwarder/config/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! What a scenario must hold beyond its types. A fault is a key and what is allowed there.
+//! Checks of a scenario's values, beyond their types. An error is a key and a description of what is allowed there.
 
 use super::*;
 
@@ -9,8 +9,8 @@
         return Ok(());
     }
     let allowed = match most == f64::MAX {
-        true => format!("{value} is not allowed, {least} or more is"),
-        false => format!("{value} is not allowed, {least} to {most} is"),
+        true => format!("{value} is not allowed; must be {least} or more"),
+        false => format!("{value} is not allowed; must be {least} to {most}"),
     };
     Err((key.to_owned(), allowed))
 }
@@ -45,7 +45,7 @@
     if scenario.traffic.is_empty() {
         return Err((
             "traffic".into(),
-            "one [[traffic]] at least is needed".into(),
+            "at least one [[traffic]] is required".into(),
         ));
     }
     for (at, traffic) in scenario.traffic.iter().enumerate() {
@@ -68,7 +68,7 @@
     if scenario.destinations.is_empty() {
         return Err((
             "destinations".into(),
-            "one [[destinations]] at least is needed".into(),
+            "at least one [[destinations]] is required".into(),
         ));
     }
     for (at, group) in scenario.destinations.iter().enumerate() {
@@ -86,8 +86,8 @@
             "no destination gets any traffic".into(),
         ));
     }
-    for (at, trouble) in scenario.faults.iter().enumerate() {
-        check_trouble(&format!("troubles[{at}]"), trouble, scenario)?;
+    for (at, fault) in scenario.faults.iter().enumerate() {
+        check_fault(&format!("troubles[{at}]"), fault, scenario)?;
     }
     memory(scenario)
 }
@@ -130,7 +130,10 @@
 
 fn network(of: &Network) -> Checked {
     if of.zones.is_empty() {
-        return Err(("network.zones".into(), "one zone at least is needed".into()));
+        return Err((
+            "network.zones".into(),
+            "at least one zone is required".into(),
+        ));
     }
     least("network.within", of.within, 0.0)?;
     least("network.between", of.between, 0.0)?;
@@ -179,31 +182,31 @@
     least(&key("limit.tells_wait"), group.limit.tells_wait, 0.0)
 }
 
-fn check_trouble(at: &str, trouble: &Fault, scenario: &Scenario) -> Checked {
+fn check_fault(at: &str, fault: &Fault, scenario: &Scenario) -> Checked {
     use FaultKind::*;
     let key = |field: &str| format!("{at}.{field}");
-    least(&key("start"), trouble.start, 0.0)?;
-    least(&key("length"), trouble.length, 0.0)?;
-    least(&key("every"), trouble.every, 1.0)?;
-    least(&key("apart"), trouble.apart, 0.0)?;
-    match trouble.kind {
-        Erring | Resetting | CutOneWay => share(&key("strength"), trouble.strength)?,
-        Slow => least(&key("strength"), trouble.strength, 0.01)?,
-        _ => within(&key("strength"), trouble.strength, 0.0, 1e6)?,
+    least(&key("start"), fault.start, 0.0)?;
+    least(&key("length"), fault.length, 0.0)?;
+    least(&key("every"), fault.every, 1.0)?;
+    least(&key("apart"), fault.apart, 0.0)?;
+    match fault.kind {
+        Erring | Resetting | CutOneWay => share(&key("strength"), fault.strength)?,
+        Slow => least(&key("strength"), fault.strength, 0.01)?,
+        _ => within(&key("strength"), fault.strength, 0.0, 1e6)?,
     }
-    let whom = &trouble.whom;
+    let scope = &fault.scope;
     let shares = [
-        ("share_of_traffic", whom.share_of_traffic),
-        ("at_random", whom.at_random),
-        ("targets", whom.targets),
+        ("share_of_traffic", scope.share_of_traffic),
+        ("at_random", scope.at_random),
+        ("targets", scope.targets),
     ];
     for (field, value) in shares {
         share(&key(&format!("whom.{field}")), value.unwrap_or(0.0))?;
     }
-    if let Some(zone) = &whom.zone {
+    if let Some(zone) = &scope.zone {
         named(&key("whom.zone"), zone, &scenario.network.zones)?;
     }
-    if let Some(group) = &whom.group {
+    if let Some(group) = &scope.group {
         let names: Vec<String> = scenario
             .destinations
             .iter()
@@ -211,29 +214,29 @@
             .collect();
         named(&key("whom.group"), group, &names)?;
     }
-    if let Some(tenant) = whom
+    if let Some(tenant) = scope
         .tenant
         .filter(|tenant| *tenant >= scenario.clients.tenants)
     {
         let most = scenario.clients.tenants - 1;
         return Err((
             key("whom.tenant"),
-            format!("{tenant} is not allowed, 0 to {most} is (clients.tenants)"),
+            format!("{tenant} is not allowed; must be 0 to {most} (clients.tenants)"),
         ));
     }
     Ok(())
 }
 
-/// What a held event takes, about, in bytes, with its share of the model and the forwarder's memory. An estimate:
-/// `docs/emulator.md` has what was measured since, which is up to half more.
-const EVENT: f64 = 700.0;
-/// What a destination and a target take beside the forwarders, and what a forwarder keeps of them.
+/// Estimated bytes for a pending event, including its share of the model's and the forwarder's memory. The
+/// measurements in `docs/emulator.md`, made since, are up to half higher.
+const PENDING_EVENT: f64 = 700.0;
+/// Bytes for a destination and a target in the model, and for each forwarder that has them listed.
 const DESTINATION: f64 = 400.0;
 const TARGET: f64 = 200.0;
 const LISTED_DESTINATION: f64 = 1500.0;
 const LISTED_TARGET: f64 = 250.0;
-/// A key line in the module and the checker.
-const KEY: f64 = 150.0;
+/// Bytes for the queue of an order key in the module and the checker.
+const KEY_QUEUE: f64 = 150.0;
 
 fn memory(scenario: &Scenario) -> Checked {
     let (forwarders, clients) = (&scenario.forwarders, &scenario.clients);
@@ -257,20 +260,23 @@
     let rate = clients.rate * (1.0 + clients.swing) * (1.0 + floods.sum::<f64>());
     let clump = 1.0 + clients.clumps * (clients.clump_size - 1.0);
     let woken: f64 = wakes.sum::<f64>() * destinations;
-    // All that could be waiting at once: the whole patience's traffic, or the whole day's if that is less.
+    // Upper bound of the events pending at once: the traffic of the longest patience, or of the complete day if
+    // that is shorter.
     let waiting = rate * clump * longest.min(scenario.length) / 1000.0 + woken;
-    // What a forwarder has no room for waits at its client.
-    let events = waiting * EVENT;
-    // A forwarder is told of a destination when the first event goes there.
-    let handed_in = rate * clump * scenario.length / 1000.0 + woken;
-    let told = destinations.min(handed_in / forwarders.count as f64) * forwarders.count as f64;
-    let listed = told * (LISTED_DESTINATION + LISTED_TARGET * targets / destinations.max(1.0));
-    let keys = (clients.keys as f64).min(waiting) * KEY;
+    // Events that exceed a forwarder's capacity wait at their client.
+    let events = waiting * PENDING_EVENT;
+    // A destination is introduced to a forwarder with the first event for that destination.
+    let submitted = rate * clump * scenario.length / 1000.0 + woken;
+    let introduced =
+        destinations.min(submitted / forwarders.count as f64) * forwarders.count as f64;
+    let listed =
+        introduced * (LISTED_DESTINATION + LISTED_TARGET * targets / destinations.max(1.0));
+    let keys = (clients.keys as f64).min(waiting) * KEY_QUEUE;
     let need =
         (events + listed + keys + destinations * DESTINATION + targets * TARGET) / 1e6 + 10.0;
     if need <= scenario.memory_mb {
         return Ok(());
     }
     let most = scenario.memory_mb;
-    Err(("memory_mb".into(), format!("the day may need {need:.0} MB ({waiting:.0} events waiting, {told:.0} destinations told), {most:.0} are allowed")))
+    Err(("memory_mb".into(), format!("the day may need {need:.0} MB ({waiting:.0} pending events, {introduced:.0} destinations introduced to forwarders); the limit is {most:.0} MB")))
 }
--- a/forwarder/config/src/tables.rs
+++ b/forwarder/config/src/tables.rs
@@ -1,11 +1,11 @@
-//! A TOML file read into what it must hold. What is wrong is said in one line with file, line, key and what
-//! is allowed there; keys may be set from outside before the file is checked.
+//! Deserializes TOML files. An error is one line with file, line, key and what is allowed there. Keys can be
+//! overridden from outside before the file is checked.
 
 use serde::de::DeserializeOwned;
 use toml::de::DeTable;
 use toml::{Table, Value};
 
-/// A TOML text with its name, and the keys that were set over it.
+/// A TOML text with the name of its file, and the keys that were overridden.
 #[derive(Clone, Debug)]
 pub struct Text {
     name: String,
@@ -22,7 +22,7 @@
         Text::parse(name, text)
     }
 
-    /// `name` stands for the file in messages.
+    /// `name` identifies the file in messages.
     pub fn parse(name: String, text: String) -> Result<Text, String> {
         let table = text.parse::<Table>().map_err(|e| {
             let line = e.span().map_or(1, |span| line_at(&text, span.start));
@@ -36,8 +36,8 @@
         })
     }
 
-    /// Sets a key by its path, as `forwarders.count` or `troubles.0.strength`. The value is TOML; what is no
-    /// TOML is taken for a text.
+    /// Sets a key by its path, such as `forwarders.count` or `troubles.0.strength`. The value is TOML; a value that
+    /// is not valid TOML is taken as a string.
     pub fn set(&mut self, path: &str, value: &str) -> Result<(), String> {
         let value = match format!("v = {value}").parse::<Table>() {
             Ok(mut table) => table
@@ -51,16 +51,16 @@
     pub fn set_value(&mut self, path: &str, value: Value) -> Result<(), String> {
         let steps: Vec<&str> = path.split('.').collect();
         let mut root = Value::Table(std::mem::take(&mut self.table));
-        let done = put(&mut root, &steps, value).map_err(|what| format!("--set {path}: {what}"));
+        let result = put(&mut root, &steps, value).map_err(|what| format!("--set {path}: {what}"));
         let Value::Table(table) = root else {
-            unreachable!("it was put in as a table")
+            unreachable!("the root is a table")
         };
         self.table = table;
         self.set.push(path.to_owned());
-        done
+        result
     }
 
-    /// As it was read, without what was set over it.
+    /// The text as it was read, without overrides.
     pub fn text(&self) -> &str {
         &self.text
     }
@@ -69,27 +69,27 @@
         &self.table
     }
 
-    /// What the table holds; an unknown key is refused with the nearest known one.
-    pub fn holds<T: DeserializeOwned>(&self) -> Result<T, String> {
+    /// Deserializes the table. The error for an unknown key suggests the nearest known key.
+    pub fn deserialize<T: DeserializeOwned>(&self) -> Result<T, String> {
         let value = Value::Table(self.table.clone());
         serde_path_to_error::deserialize(value).map_err(|e| {
             let path = e.path().to_string();
-            let said = one_line(e.inner().message());
-            let unknown = quoted(&said).filter(|_| said.starts_with("unknown field"));
+            let message = one_line(e.inner().message());
+            let unknown = quoted(&message).filter(|_| message.starts_with("unknown field"));
             let key = match unknown {
                 // The path already ends with the unknown key for some shapes.
                 Some(key) if path != key && !path.ends_with(&format!(".{key}")) => join(&path, key),
                 _ => path,
             };
-            let nearest = unknown.and_then(|key| nearest(key, &said));
+            let nearest = unknown.and_then(|key| nearest(key, &message));
             let hint = nearest
                 .map(|known| format!("; did you mean `{known}`?"))
                 .unwrap_or_default();
-            self.wrong(&key, &format!("{said}{hint}"))
+            self.wrong(&key, &format!("{message}{hint}"))
         })
     }
 
-    /// The message for a key that holds something not allowed.
+    /// The message for a key whose value is not allowed.
     pub fn wrong(&self, key: &str, what: &str) -> String {
         let key = key.trim_start_matches("?.").trim_end_matches(".?");
         if self.set.iter().any(|set| *set == dotted(key)) {
@@ -98,7 +98,7 @@
         format!("{}:{}: {key}: {what}", self.name, self.line_of(key))
     }
 
-    /// The line of a key, or of the nearest table around it that stands in the file.
+    /// The line of a key, or of the innermost enclosing table that the file contains.
     fn line_of(&self, key: &str) -> usize {
         let Ok(root) = DeTable::parse(&self.text) else {
             return 1;
@@ -133,9 +133,9 @@
     }
 }
 
-/// Puts a value at a path; tables that are missing on the way are made, places in lists are not.
+/// Sets the value at a path. Missing tables along the path are created, missing list elements are not.
 fn put(into: &mut Value, steps: &[&str], value: Value) -> Result<(), String> {
-    let (step, rest) = steps.split_first().expect("a path has one step at least");
+    let (step, rest) = steps.split_first().expect("a path has at least one step");
     let place = match (step.parse::<usize>(), into) {
         (Ok(position), Value::Array(list)) => list.get_mut(position),
         (_, Value::Table(table)) => Some(
@@ -153,7 +153,7 @@
     put(place, rest, value)
 }
 
-/// `troubles[1].kind` as `troubles.1.kind`.
+/// Converts `troubles[1].kind` to `troubles.1.kind`.
 fn dotted(key: &str) -> String {
     key.replace('[', ".")
         .replace(']', "")
@@ -180,21 +180,21 @@
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
 
-/// What stands first between two backquotes.
+/// The first text between two backquotes.
 fn quoted(text: &str) -> Option<&str> {
     text.split('`').nth(1)
 }
 
-/// The nearest of the names that serde lists behind "expected".
-fn nearest<'a>(key: &str, said: &'a str) -> Option<&'a str> {
-    let names = said.split('`').skip(3).step_by(2);
+/// The nearest of the names that serde lists after "expected".
+fn nearest<'a>(key: &str, message: &'a str) -> Option<&'a str> {
+    let names = message.split('`').skip(3).step_by(2);
     let near = names.map(|name| (strsim::jaro_winkler(key, name), name));
     near.max_by(|a, b| a.0.total_cmp(&b.0))
         .filter(|(likeness, _)| *likeness > 0.7)
         .map(|(_, name)| name)
 }
 
-/// The nearest of some names, for messages about a name that is none of them.
+/// The nearest of some names, for messages about an unknown name.
 pub fn nearest_of<'a>(key: &str, names: impl Iterator<Item = &'a str>) -> Option<&'a str> {
     names.max_by(|a, b| strsim::jaro_winkler(key, a).total_cmp(&strsim::jaro_winkler(key, b)))
 }
--- a/forwarder/config/tests/told.rs
+++ b/forwarder/config/tests/config.rs
@@ -1,4 +1,4 @@
-//! What a forwarder is told at its start, right and wrong: a message names the faulty key.
+//! Valid and invalid configurations of a forwarder; an error message names the faulty key.
 
 use plankhill_forwarder_config::load_config;
 use rstest::rstest;
@@ -26,11 +26,11 @@
     handover: Option<&str>,
 ) -> Result<plankhill_forwarder_config::ForwarderConfig, String> {
     let path = std::env::temp_dir().join(format!(
-        "plankhill-terms-{}-{name}.json",
+        "plankhill-config-{}-{name}.json",
         std::process::id()
     ));
-    std::fs::write(&path, config.to_string()).expect("a file for the test");
-    let told = load_config(|variable| match variable {
+    std::fs::write(&path, config.to_string()).expect("the test's file is written");
+    let loaded = load_config(|variable| match variable {
         "PROXY_CONFIG" => Some(path.display().to_string()),
         "PROXY_STATE" => Some("/state".into()),
         "PROXY_NAME" => Some("n4".into()),
@@ -38,48 +38,53 @@
         _ => None,
     });
     std::fs::remove_file(&path).expect("written above");
-    told
+    loaded
 }
 
 #[rstest]
-fn all_is_read_once_and_a_variable_goes_before_the_file() {
-    let told = read("right", &config()).expect("right");
+fn a_variable_takes_precedence_over_the_file() {
+    let loaded = read("right", &config()).expect("right");
     assert_eq!(
-        (told.name.as_str(), told.max_sockets, told.max_disk_bytes),
+        (
+            loaded.name.as_str(),
+            loaded.max_sockets,
+            loaded.max_disk_bytes
+        ),
         ("n4", 1024, 3_000_000)
     );
     assert_eq!(
         (
-            told.connect_timeout,
-            told.idle_timeout,
-            told.decisions.max_calls_in_flight
+            loaded.connect_timeout,
+            loaded.idle_timeout,
+            loaded.decisions.max_calls_in_flight
         ),
         (1000.0, 13_500.0, 4)
     );
-    assert_eq!(told.decisions.seed, 0x8c1f30d27a5be964);
+    assert_eq!(loaded.decisions.seed, 0x8c1f30d27a5be964);
 }
 
 #[rstest]
-fn without_rates_reports_and_members_nothing_changes() {
-    let told = read("defaults", &config()).expect("right");
+fn rates_reports_and_members_are_optional() {
+    let loaded = read("defaults", &config()).expect("right");
     assert!(
-        !told.names.sizes_are_rates
-            && told.names.left_at.is_none()
-            && told.names.members.is_empty()
+        !loaded.names.sizes_are_rates
+            && loaded.names.left_at.is_none()
+            && loaded.names.members.is_empty()
     );
     assert!(
-        told.decisions.member_quotas.is_empty() && told.decisions.over_quota_value_weight == 1.0
+        loaded.decisions.member_quotas.is_empty()
+            && loaded.decisions.over_quota_value_weight == 1.0
     );
 }
 
-/// Met at a deployment whose kinds take several events in a call: each went as a call of its own, with one slot for all,
-/// and four calls in ten were turned away for want of a slot.
+/// With kinds that accept several events per call, each event on sockets was sent as a call of its own while all
+/// events shared one slot, so that four calls in ten were rejected for lack of a slot.
 #[rstest]
-fn a_call_on_sockets_carries_one_event_whatever_one_of_the_simulator_may() {
+fn a_call_on_sockets_carries_one_event_regardless_of_the_simulator_limit() {
     let mut config = config();
     config["settings"]["familyInfo"]["perCall"] = json!([8]);
-    let told = read("calls", &config).expect("right");
-    assert_eq!(told.decisions.destination_kinds[0].max_events_per_call, 1);
+    let loaded = read("calls", &config).expect("right");
+    assert_eq!(loaded.decisions.destination_kinds[0].max_events_per_call, 1);
     let settings = config["settings"].as_object().expect("given");
     let (simulated, _) =
         plankhill_forwarder_config::decision_config(settings, "settings", 1).expect("right");
@@ -93,14 +98,16 @@
     config["settings"]["report"] = json!({"columns": ["x1", "x0"], "via": "piggyback"});
     config["settings"]["projects"] = json!([{"name": "a", "quotaPerS": 66.0, "share": 0.08}]);
     config["settings"]["overShareWorth"] = json!(0.05);
-    let told = read("new", &config).expect("right");
+    let loaded = read("new", &config).expect("right");
     assert!(
-        told.names.sizes_are_rates && told.names.left_at == Some(1) && told.names.members == ["a"]
+        loaded.names.sizes_are_rates
+            && loaded.names.left_at == Some(1)
+            && loaded.names.members == ["a"]
     );
     assert_eq!(
         (
-            told.decisions.member_quotas,
-            told.decisions.over_quota_value_weight
+            loaded.decisions.member_quotas,
+            loaded.decisions.over_quota_value_weight
         ),
         (vec![66.0], 0.05)
     );
@@ -128,43 +135,43 @@
 fn the_faulty_key_is_named(#[case] at: &str, #[case] value: Value, #[case] message: &str) {
     let mut config = config();
     let name = format!("{at}{value}").replace(|c: char| !c.is_alphanumeric(), "-");
-    *config.pointer_mut(at).expect("stands there") = value;
-    let said = read(&name, &config).map(|_| ()).expect_err("is wrong");
-    assert!(said.contains(message), "{said}");
+    *config.pointer_mut(at).expect("the key exists") = value;
+    let error = read(&name, &config).map(|_| ()).expect_err("is wrong");
+    assert!(error.contains(message), "{error}");
 }
 
 #[rstest]
-fn a_file_that_is_missing_or_no_json_is_named() {
-    let said = load_config(|_| None)
+fn a_missing_or_unset_file_is_named() {
+    let error = load_config(|_| None)
         .map(|_| ())
         .expect_err("nothing is set");
-    assert!(said.contains("PROXY_CONFIG: is not set"), "{said}");
-    let said = load_config(|_| Some("/nowhere/config.json".into()))
+    assert!(error.contains("PROXY_CONFIG: is not set"), "{error}");
+    let error = load_config(|_| Some("/nowhere/config.json".into()))
         .map(|_| ())
         .expect_err("is not there");
     assert!(
-        said.contains("PROXY_CONFIG: /nowhere/config.json cannot be read"),
-        "{said}"
+        error.contains("PROXY_CONFIG: /nowhere/config.json cannot be read"),
+        "{error}"
     );
 }
 
-/// The fleet's platform gives no Unix socket: the deploy file's `run` turns the hand-over off.
+/// The fleet's platform provides no Unix socket, so that `run` in the deploy file turns the handover off.
 #[rstest]
 #[case(None, Ok(true))]
 #[case(Some("on"), Ok(true))]
 #[case(Some("off"), Ok(false))]
 #[case(Some("no"), Err("PROXY_HANDOVER: \"no\" is neither on nor off"))]
-fn the_hand_over_is_on_unless_turned_off(
-    #[case] said: Option<&str>,
-    #[case] meant: Result<bool, &str>,
+fn the_handover_is_on_unless_turned_off(
+    #[case] value: Option<&str>,
+    #[case] expected: Result<bool, &str>,
 ) {
-    let name = format!("handover-{}", said.unwrap_or("unset"));
+    let name = format!("handover-{}", value.unwrap_or("unset"));
     match (
-        read_with(&name, &config(), said).map(|told| told.hot_restart),
-        meant,
+        read_with(&name, &config(), value).map(|loaded| loaded.hot_restart),
+        expected,
     ) {
         (Ok(on), Ok(wanted)) => assert_eq!(on, wanted),
-        (Err(said), Err(message)) => assert!(said.contains(message), "{said}"),
-        (other, wanted) => panic!("{other:?} where {wanted:?} was meant"),
+        (Err(error), Err(message)) => assert!(error.contains(message), "{error}"),
+        (other, wanted) => panic!("{other:?} where {wanted:?} was expected"),
     }
 }
--- a/forwarder/config/tests/fanout.rs
+++ b/forwarder/config/tests/fanout.rs
@@ -1,4 +1,4 @@
-//! The section `[fanout]` of a fleet file, right and wrong.
+//! Valid and invalid sections `[fanout]` of a fleet file.
 
 use plankhill_forwarder_config::fanout::fanout;
 use plankhill_forwarder_config::tables::Text;
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_not_said_has_its_default() {
+fn missing_keys_have_defaults() {
     let layout = read(RIGHT).unwrap().unwrap();
     assert_eq!(
         (layout.cohorts, layout.slow_cohorts, layout.lists.len()),
@@ -80,7 +80,7 @@
 #[case(
     "[3, 1, 2]",
     "[3, 1, 3]",
-    "fleet.toml:8: fanout.lists.prices: destination 3 stands twice"
+    "fleet.toml:8: fanout.lists.prices: destination 3 is listed twice"
 )]
 #[case(
     "[3, 1, 2]",
@@ -98,12 +98,8 @@
     "keep_in_all = 2",
     "fleet.toml:8: fanout.lists.prices: 3 destinations, but"
 )]
-fn what_is_wrong_is_told_with_its_key_and_line(
-    #[case] was: &str,
-    #[case] is: &str,
-    #[case] told: &str,
-) {
-    let trouble = read(&RIGHT.replace(was, is)).unwrap_err();
-    assert!(trouble.starts_with(told), "{trouble}");
-    assert_eq!(trouble.lines().count(), 1);
+fn an_error_names_its_key_and_line(#[case] was: &str, #[case] is: &str, #[case] message: &str) {
+    let error = read(&RIGHT.replace(was, is)).unwrap_err();
+    assert!(error.starts_with(message), "{error}");
+    assert_eq!(error.lines().count(), 1);
 }
--- a/forwarder/config/tests/fleet.rs
+++ b/forwarder/config/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet file: what it gives, and what each fault is called, with its key and line.
+//! The fleet file: its content and defaults; an error names its key and line.
 
 use plankhill_forwarder_config::fleet::{read, Timing};
 use rstest::rstest;
@@ -20,7 +20,7 @@
 "#;
 
 #[test]
-fn a_fleet_file_gives_its_instances_and_spans_with_defaults() {
+fn a_fleet_file_has_instances_and_timing_with_defaults() {
     let fleet = read(GOOD).unwrap();
     assert_eq!(fleet.instances.len(), 3);
     assert_eq!(fleet.instance("a").unwrap().zone, "z1");
@@ -52,12 +52,12 @@
 #[case(
     "name = \"b\"",
     "name = \"a\"",
-    "line 4: instances.name: \"a\" stands twice"
+    "line 4: instances.name: \"a\" is listed twice"
 )]
 #[case(
     "127.0.0.1:2",
     "127.0.0.1:1",
-    "line 4: instances.address: \"127.0.0.1:1\" stands twice"
+    "line 4: instances.address: \"127.0.0.1:1\" is listed twice"
 )]
 #[case(
     "127.0.0.1:3",
@@ -92,14 +92,10 @@
 #[case(
     "\"b\", \"c\"]",
     "\"b\", \"d\"]",
-    "line 12: control.voters: \"d\" is no instance"
+    "line 12: control.voters: \"d\" is not an instance"
 )]
-fn each_fault_is_told_with_its_key_and_line(
-    #[case] good: &str,
-    #[case] bad: &str,
-    #[case] told: &str,
-) {
+fn an_error_names_its_key_and_line(#[case] good: &str, #[case] bad: &str, #[case] message: &str) {
     let text = GOOD.replace(good, bad);
     let fault = read(&text).unwrap_err();
-    assert!(fault.starts_with(told), "{fault}");
+    assert!(fault.starts_with(message), "{fault}");
 }
--- a/forwarder/config/tests/pools.rs
+++ b/forwarder/config/tests/pools.rs
@@ -1,4 +1,4 @@
-//! The fleet file's `[pools]`, and the policy that it names.
+//! The section `[pools]` of the fleet file, and the policy that it names.
 
 use plankhill_forwarder_config::pools::pools;
 use plankhill_forwarder_config::{fleet, Names};
@@ -24,7 +24,7 @@
     }
 }
 
-fn told(section: &str, policy: &str) -> Result<Option<u64>, String> {
+fn edition(section: &str, policy: &str) -> Result<Option<u64>, String> {
     let folder = tempfile::tempdir().expect("a folder");
     std::fs::write(folder.path().join("a.policy"), policy).expect("is written");
     let file = folder.path().join("fleet.toml").display().to_string();
@@ -33,16 +33,16 @@
 }
 
 #[test]
-fn a_policy_is_found_next_to_the_fleet_file_and_none_is_none() {
-    assert_eq!(told("policy = \"a.policy\"", POLICY), Ok(Some(3)));
-    assert_eq!(told("", POLICY), Ok(None));
+fn a_policy_is_found_next_to_the_fleet_file_and_is_optional() {
+    assert_eq!(edition("policy = \"a.policy\"", POLICY), Ok(Some(3)));
+    assert_eq!(edition("", POLICY), Ok(None));
 }
 
 #[test]
-fn the_example_in_deploy_is_sound() {
+fn the_example_in_deploy_is_valid() {
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/fleet.toml");
     let fleet = fleet::read(&format!("{FLEET}policy = \"pools.policy\"")).expect("is a fleet");
-    assert!(pools(&fleet, file, &names()).expect("is sound").is_some());
+    assert!(pools(&fleet, file, &names()).expect("is valid").is_some());
 }
 
 #[rstest]
@@ -54,7 +54,7 @@
     "language 1 edition 3 budget each target of kind mail { connections 9 }",
     "a.policy:1:29: each target of kind \"mail\" / kind mail: no such kind; known are: webhook"
 )]
-fn a_fault_names_file_and_key(#[case] section: &str, #[case] policy: &str, #[case] said: &str) {
-    let fault = told(section, policy).expect_err("is a fault");
-    assert!(fault.contains(said), "{fault}");
+fn an_error_names_file_and_key(#[case] section: &str, #[case] policy: &str, #[case] message: &str) {
+    let fault = edition(section, policy).expect_err("is a fault");
+    assert!(fault.contains(message), "{fault}");
 }
--- a/forwarder/config/tests/scenarios.rs
+++ b/forwarder/config/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Scenarios and experiments, right and wrong: a message is one line with file, line, key and what is allowed.
+//! Valid and invalid scenarios and experiments; an error is one line with file, line, key and what is allowed.
 
 use plankhill_forwarder_config::experiment::Experiment;
 use plankhill_forwarder_config::scenario::Scenario;
@@ -34,7 +34,7 @@
 }
 
 #[rstest]
-fn what_is_not_said_has_its_default() {
+fn missing_keys_have_defaults() {
     let scenario = read(RIGHT).expect("right");
     assert_eq!(
         (
@@ -73,7 +73,7 @@
 #[case::too_small(
     "rate = 20.0",
     "rate = -1.0",
-    "day.toml:5: clients.rate: -1 is not allowed, 0 or more is"
+    "day.toml:5: clients.rate: -1 is not allowed; must be 0 or more"
 )]
 #[case::no_group(
     "group = \"partners\"",
@@ -83,7 +83,7 @@
 #[case::patience(
     "patience = 8000.0",
     "patience = 10.0",
-    "day.toml:11: traffic[0].patience: 10 is not allowed, 1000 or more is"
+    "day.toml:11: traffic[0].patience: 10 is not allowed; must be 1000 or more"
 )]
 #[case::missing("share = 1.0\n", "", "traffic[0]: missing field `share`")]
 #[case::no_toml("rate = 20.0", "rate = = 20.0", "day.toml:5: not TOML")]
@@ -98,13 +98,13 @@
     #[case] wrong: &str,
     #[case] message: &str,
 ) {
-    let said = read(&RIGHT.replacen(right, wrong, 1)).expect_err("wrong");
-    assert!(said.contains(message), "{said}");
-    assert!(!said.contains('\n'), "{said}");
+    let error = read(&RIGHT.replacen(right, wrong, 1)).expect_err("wrong");
+    assert!(error.contains(message), "{error}");
+    assert!(!error.contains('\n'), "{error}");
 }
 
 #[rstest]
-fn a_key_that_was_set_is_named_as_set() {
+fn an_overridden_key_is_named_as_set() {
     let mut text = Text::parse("day.toml".into(), RIGHT.into()).expect("TOML");
     text.set("troubles.0.start", "-5").expect("it is there");
     assert!(Scenario::read(&text)
@@ -112,11 +112,11 @@
         .starts_with("--set troubles.0.start: -5 is not allowed"));
     assert!(text
         .set("troubles.7.start", "5")
-        .expect_err("no such trouble")
+        .expect_err("no such fault")
         .contains("there is no \"7\" here"));
     text.set("troubles.0.start", "500").expect("it is there");
     text.set("forwarders.decisions", "backoff")
-        .expect("made on the way");
+        .expect("the table is created");
     let scenario = Scenario::read(&text).expect("right again");
     assert_eq!(scenario.faults[0].start, 500.0);
 }
@@ -125,21 +125,21 @@
 #[case("seeds = 0", "seeds: 0 is not allowed")]
 #[case(
     "seeds = 2\n[[variants]]\nname = \"a\"\n[[variants]]\nname = \"a\"",
-    "e.toml:7: variants[1].name: \"a\" is there twice"
+    "e.toml:7: variants[1].name: \"a\" is listed twice"
 )]
 #[case(
     "seeds = 2\n[[variants]]\nname = \"a\"\n[[sweep]]\nkey = \"seed\"\nvalues = []",
     "sweep[0].values"
 )]
 #[case("seeds = 2\nmeasure = []", "did you mean `measures`?")]
-fn a_faulty_experiment_is_named_too(#[case] rest: &str, #[case] message: &str) {
+fn a_faulty_key_of_an_experiment_is_named(#[case] rest: &str, #[case] message: &str) {
     let variants = if rest.contains("variants") {
         ""
     } else {
         "\n[[variants]]\nname = \"a\""
     };
     let text = format!("about = \"q\"\nscenario = \"ordinary-day\"\n{rest}{variants}");
-    let said =
+    let error =
         Experiment::read(&Text::parse("e.toml".into(), text).expect("TOML")).expect_err("wrong");
-    assert!(said.contains(message), "{said}");
+    assert!(error.contains(message), "{error}");
 }
