--- a/forwarder/emulator/benches/memory.rs
+++ b/forwarder/emulator/benches/memory.rs
@@ -1,5 +1,5 @@
-//! Bytes that a held event takes in the model, its checker and the module together. All
-//! destinations are down, so that what comes in piles up; allocations are counted, not guessed.
+//! Memory of a pending event in the model, its checker and the module together. All destinations are
+//! down, so that events accumulate; the allocator counts the bytes.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,7 +12,7 @@
 
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: passes everything on to the system's allocator, and counts.
+// SAFETY: delegates to the system's allocator, and counts.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
@@ -28,18 +28,21 @@
 static ALLOCATOR: Counting = Counting;
 
 fn main() {
-    println!("destinations  forwarders  held events  bytes a held event  bytes a forwarder's destination");
+    println!("destinations  forwarders       events     bytes per event  bytes per forwarder destination");
     for (destinations, forwarders) in [(100, 3), (1000, 3), (10_000, 3), (1000, 30)] {
         let idle = bytes(destinations, forwarders, 1);
         let full = bytes(destinations, forwarders, 8);
         let events = full.1 - idle.1;
         let each = (full.0 - idle.0) as f64 / events as f64;
-        let told = idle.0 as f64 / (destinations * forwarders) as f64;
-        println!("{destinations:12} {forwarders:11} {events:12} {each:19.0} {told:32.0}");
+        let per_destination = idle.0 as f64 / (destinations * forwarders) as f64;
+        println!(
+            "{destinations:12} {forwarders:11} {events:12} {each:19.0} {per_destination:32.0}"
+        );
     }
 }
 
-/// In use after so many events for each destination have piled up, and how many they are.
+/// The bytes in use once `each` events per forwarder and destination have accumulated, and the number
+/// of pending events.
 fn bytes(destinations: usize, forwarders: usize, each: usize) -> (usize, usize) {
     let text = format!(
         r#"
--- a/forwarder/emulator/benches/speed.rs
+++ b/forwarder/emulator/benches/speed.rs
@@ -1,8 +1,7 @@
-//! Events a second of one thread, by the number of destinations and of forwarders, and the queue of
-//! what is still to happen against the standard library's heap. Figures stand in
-//! `docs/emulator.md`.
+//! Events per second of one thread, by the number of destinations and of forwarders, and the queue of
+//! future steps compared with the standard library's heap. `docs/emulator.md` has the results.
 
-#![allow(missing_docs)] // `criterion_group` makes a public function without one
+#![allow(missing_docs)] // `criterion_group` generates an undocumented public function
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -77,7 +76,7 @@
     group.finish();
 }
 
-/// The model alone: its steps with a decider that hardly thinks.
+/// The model alone: its steps with a decider that does hardly any work.
 fn steps(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("steps of the model");
     group.sample_size(10);
@@ -87,12 +86,13 @@
     group.finish();
 }
 
-/// Holds so many entries; each that leaves puts one behind it, mostly soon, some at a time-out.
+/// Keeps the queue at a constant length: each entry that is removed adds a new one, mostly due soon, some
+/// due after a timeout.
 fn queues(criterion: &mut Criterion) {
-    const TURNS: u64 = 100_000;
+    const ROUNDS: u64 = 100_000;
     let mut group = criterion.benchmark_group("queue");
-    group.throughput(Throughput::Elements(TURNS));
-    for held in [100, 10_000, 1_000_000] {
+    group.throughput(Throughput::Elements(ROUNDS));
+    for len in [100, 10_000, 1_000_000] {
         let mut rng = stream(1, RandomStream::Network);
         let gaps: Vec<f64> = (0..4096)
             .map(|at| {
@@ -104,34 +104,34 @@
             })
             .collect();
         group.bench_with_input(
-            BenchmarkId::new("radix heap", held),
-            &held,
-            |bencher, &held| {
+            BenchmarkId::new("radix heap", len),
+            &len,
+            |bencher, &len| {
                 let mut queue = Queue::default();
-                (0..held).for_each(|at| queue.put(gaps[at % 4096], at as u64));
+                (0..len).for_each(|at| queue.put(gaps[at % 4096], at as u64));
                 bencher.iter(|| {
-                    for turn in 0..TURNS {
+                    for round in 0..ROUNDS {
                         let (at, entry) = queue.pop().expect("never empty");
-                        queue.put(at + gaps[(turn % 4096) as usize], entry);
+                        queue.put(at + gaps[(round % 4096) as usize], entry);
                     }
                 });
             },
         );
         group.bench_with_input(
-            BenchmarkId::new("binary heap", held),
-            &held,
-            |bencher, &held| {
+            BenchmarkId::new("binary heap", len),
+            &len,
+            |bencher, &len| {
                 let mut heap = BinaryHeap::new();
                 let mut order = 0u64;
-                for at in 0..held {
+                for at in 0..len {
                     heap.push(Reverse((gaps[at % 4096].to_bits(), order, at as u64)));
                     order += 1;
                 }
                 bencher.iter(|| {
-                    for turn in 0..TURNS {
+                    for round in 0..ROUNDS {
                         let Reverse((at, _, entry)) = heap.pop().expect("never empty");
                         heap.push(Reverse((
-                            (f64::from_bits(at) + gaps[(turn % 4096) as usize]).to_bits(),
+                            (f64::from_bits(at) + gaps[(round % 4096) as usize]).to_bits(),
                             order,
                             entry,
                         )));
--- a/forwarder/emulator/examples/decision_digests.rs
+++ b/forwarder/emulator/examples/decision_digests.rs
@@ -1,5 +1,5 @@
-//! Plays every shipped scenario in full, for two seeds each, and prints a digest of each outcome.
-//! Two versions whose decisions are the same print the same text.
+//! Simulates every shipped scenario in full, for two seeds each, and prints a digest of each outcome.
+//! Versions that make the same decisions print the same text.
 //!
 //!     cargo run --release -p plankhill-emulator --example decision_digests
 
--- a/forwarder/emulator/src/affected.rs
+++ b/forwarder/emulator/src/affected.rs
@@ -1,4 +1,4 @@
-//! Which destinations and forwarders each fault strikes, and each destination's share of the
+//! The destinations and forwarders that each fault affects, and each destination's share of the
 //! traffic. Determined once, from the scenario and the seed.
 
 use plankhill_forwarder_config::scenario::{Fault, Scenario};
@@ -24,23 +24,23 @@
         let mut destinations = Vec::new();
         let mut forwarders = Vec::new();
         for fault in &scenario.faults {
-            let whom = &fault.whom;
+            let scope = &fault.scope;
             let mut list: Vec<u32> = by_use.clone();
-            if let Some(name) = &whom.group {
+            if let Some(name) = &scope.group {
                 list.retain(|at| {
                     scenario.destinations[groups[*at as usize] as usize].name == *name
                 });
             }
-            if let Some(tenant) = whom.tenant {
+            if let Some(tenant) = scope.tenant {
                 list.retain(|at| *at as usize % scenario.clients.tenants == tenant);
             }
-            if let Some(share) = whom.at_random {
+            if let Some(share) = scope.at_random {
                 list.retain(|_| uniform(&mut rng) < share);
             }
-            if let Some(most) = whom.first {
+            if let Some(most) = scope.first {
                 list.truncate(most);
             }
-            if let Some(share) = whom.share_of_traffic {
+            if let Some(share) = scope.share_of_traffic {
                 let mut sum = 0.0;
                 list.retain(|at| {
                     let wanted = sum < share;
@@ -50,7 +50,7 @@
             }
             list.sort_unstable();
             destinations.push(list);
-            forwarders.push(struck_forwarders(scenario, fault, &mut || {
+            forwarders.push(affected_forwarders(scenario, fault, &mut || {
                 uniform(&mut rng)
             }));
         }
@@ -74,22 +74,22 @@
     all
 }
 
-fn struck_forwarders(
+fn affected_forwarders(
     scenario: &Scenario,
     fault: &Fault,
     draw: &mut dyn FnMut() -> f64,
 ) -> Vec<u32> {
     let count = scenario.forwarders.count;
     let zones = &scenario.network.zones;
-    let whom = &fault.whom;
+    let scope = &fault.scope;
     let mut list: Vec<u32> = (0..count as u32).collect();
-    if let Some(zone) = &whom.zone {
+    if let Some(zone) = &scope.zone {
         list.retain(|at| zones[*at as usize % zones.len()] == *zone);
     }
-    if let Some(share) = whom.at_random {
+    if let Some(share) = scope.at_random {
         list.retain(|_| draw() < share);
     }
-    if let Some(most) = whom.first {
+    if let Some(most) = scope.first {
         list.truncate(most);
     }
     list
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! The events that clients submit: when, and for which destination. The stream depends on the
-//! scenario and the seed alone, so that every decider meets the same clients.
+//! The events that clients submit, with their times and destinations. The stream depends on the
+//! scenario and the seed alone, so that every decider gets the same events.
 
 use std::collections::VecDeque;
 
@@ -23,18 +23,18 @@
     pub deadline: Ms,
     /// How often the event was rejected and submitted again.
     pub returns: u32,
-    /// What kept the event from being delivered so far.
+    /// The latest reason why the event was not delivered.
     pub cause: LossCause,
 }
 
 /// The value of an event that is delivered at the time `at`.
-pub fn worth(of: &Traffic, first_at: Ms, at: Ms) -> f64 {
+pub fn value_at(of: &Traffic, first_at: Ms, at: Ms) -> f64 {
     let late =
         ((at - first_at - of.soft_limit) / (of.patience - of.soft_limit).max(1.0)).clamp(0.0, 1.0);
     of.payoff * (1.0 - late * (1.0 - of.payoff_at_end))
 }
 
-enum Whose {
+enum DestinationChoice {
     Weighted(WeightedAliasIndex<f64>, Vec<u32>),
     Each(Vec<u32>, usize),
 }
@@ -44,17 +44,17 @@
     ends: Ms,
     /// The mean time between two events at the highest rate.
     gap: Ms,
-    /// The rate follows the day's curve.
-    swings: bool,
+    /// Whether the rate follows the day's curve.
+    varies_over_day: bool,
     left: u64,
-    whose: Whose,
+    choice: DestinationChoice,
     rng: ChaCha8Rng,
 }
 
 pub struct Clients<'a> {
     scenario: &'a Scenario,
     sources: Vec<Source>,
-    clump: VecDeque<ClientEvent>,
+    burst: VecDeque<ClientEvent>,
     traffic: WeightedAliasIndex<f64>,
     keys_of: Vec<f64>,
     rng: ChaCha8Rng,
@@ -62,23 +62,26 @@
 }
 
 impl<'a> Clients<'a> {
-    pub fn new(scenario: &'a Scenario, struck: &Affected, seed: u64) -> Self {
+    pub fn new(scenario: &'a Scenario, affected: &Affected, seed: u64) -> Self {
         let of = &scenario.clients;
-        let all: Vec<u32> = (0..struck.weights.len() as u32).collect();
+        let all: Vec<u32> = (0..affected.weights.len() as u32).collect();
         let weighted = |list: &[u32]| {
-            let weights: Vec<f64> = list.iter().map(|at| struck.weights[*at as usize]).collect();
+            let weights: Vec<f64> = list
+                .iter()
+                .map(|at| affected.weights[*at as usize])
+                .collect();
             let weights = if weights.iter().sum::<f64>() > 0.0 {
                 weights
             } else {
                 vec![1.0; list.len()]
             };
-            Whose::Weighted(
+            DestinationChoice::Weighted(
                 WeightedAliasIndex::new(weights).expect("weights are checked"),
                 list.to_vec(),
             )
         };
         let mut sources = Vec::new();
-        let mut add = |start: Ms, length: Ms, rate: f64, swings, left, whose| {
+        let mut add = |start: Ms, length: Ms, rate: f64, varies_over_day, left, choice| {
             if rate > 0.0 {
                 let rng = stream(
                     seed.wrapping_add(sources.len() as u64),
@@ -90,9 +93,9 @@
                     next_at: start,
                     ends,
                     gap,
-                    swings,
+                    varies_over_day,
                     left,
-                    whose,
+                    choice,
                     rng,
                 });
             }
@@ -105,7 +108,7 @@
             u64::MAX,
             weighted(&all),
         );
-        for (fault, list) in scenario.faults.iter().zip(&struck.destinations) {
+        for (fault, list) in scenario.faults.iter().zip(&affected.destinations) {
             if list.is_empty() {
                 continue;
             }
@@ -123,9 +126,9 @@
                 }
                 FaultKind::MassWake => {
                     let events = (list.len() as f64 * fault.strength).round();
-                    // A little faster than evenly, so that all have come before the end.
+                    // Slightly faster than evenly spaced, so that all arrive before the end.
                     let rate = 1050.0 * events / fault.length.max(1.0);
-                    let each = Whose::Each(list.clone(), 0);
+                    let each = DestinationChoice::Each(list.clone(), 0);
                     add(
                         fault.start,
                         fault.length + 1000.0,
@@ -146,7 +149,7 @@
             .iter()
             .map(|traffic| traffic.share)
             .collect();
-        let keys_of = struck
+        let keys_of = affected
             .weights
             .iter()
             .map(|w| (of.keys as f64 * w).round().max(1.0))
@@ -154,7 +157,7 @@
         Clients {
             scenario,
             sources,
-            clump: VecDeque::new(),
+            burst: VecDeque::new(),
             traffic: WeightedAliasIndex::new(shares).expect("shares are checked"),
             keys_of,
             rng: stream(seed, RandomStream::Front),
@@ -189,7 +192,7 @@
     type Item = ClientEvent;
 
     fn next(&mut self) -> Option<ClientEvent> {
-        if let Some(client_event) = self.clump.pop_front() {
+        if let Some(client_event) = self.burst.pop_front() {
             return Some(client_event);
         }
         loop {
@@ -203,13 +206,14 @@
             let source = &mut self.sources[first?];
             let at = source.next_at;
             source.next_at += exponential(&mut source.rng, source.gap);
-            if source.swings && uniform(&mut source.rng) > share_of_peak(self.scenario, at) {
+            if source.varies_over_day && uniform(&mut source.rng) > share_of_peak(self.scenario, at)
+            {
                 continue;
             }
             source.left -= 1;
-            let destination = match &mut source.whose {
-                Whose::Weighted(weights, list) => list[weights.sample(&mut source.rng)],
-                Whose::Each(list, next) => {
+            let destination = match &mut source.choice {
+                DestinationChoice::Weighted(weights, list) => list[weights.sample(&mut source.rng)],
+                DestinationChoice::Each(list, next) => {
                     *next += 1;
                     list[(*next - 1) % list.len()]
                 }
@@ -224,7 +228,7 @@
             let client_event = self.client_event(destination, at);
             for _ in 0..extra {
                 let next = self.client_event(destination, at);
-                self.clump.push_back(next);
+                self.burst.push_back(next);
             }
             return Some(client_event);
         }
--- a/forwarder/emulator/src/deciders/baseline.rs
+++ b/forwarder/emulator/src/deciders/baseline.rs
@@ -1,7 +1,7 @@
 //! Baselines to compare the decision module with: the usual retry policies of a simple service.
 //!
-//! They respect idempotency, key order, retry-afters and drains. Offline lanes, warm-up, fair
-//! queueing and load shedding are unknown to them.
+//! They respect idempotency, key order, retry-afters and drains. They have no offline lanes, warm-up,
+//! fair queueing or load shedding.
 
 mod dispatch;
 
@@ -14,7 +14,7 @@
 use super::{Decider, Decision, EventKey, Input};
 use crate::random::{stream, uniform, RandomStream};
 
-/// What one baseline does beyond attempting each event.
+/// The options of a baseline, beyond attempting each event.
 pub struct BaselineOptions {
     /// The upper bound of attempts of one event, beside that of the configuration.
     pub attempts: u32,
@@ -33,7 +33,7 @@
 /// Full jitter: the backoff is uniform from 0 to this, doubling with each attempt.
 const INITIAL_BACKOFF: Ms = 200.0;
 const MAX_BACKOFF: Ms = 10_000.0;
-/// Events are completed so long before their deadline.
+/// Events are completed this long before their deadline.
 const DEADLINE_MARGIN: Ms = 30.0;
 
 struct Event {
@@ -76,7 +76,7 @@
     destinations: BTreeMap<u32, Destination>,
     destination_of_target: FxHashMap<u32, u32>,
     keys: FxHashMap<u64, KeyQueue>,
-    /// When something is due for a destination.
+    /// Times at which a destination needs attention.
     due: BTreeSet<(u64, u32)>,
     completions_due: BTreeSet<(u64, EventKey)>,
     out: usize,
--- a/forwarder/emulator/src/deciders/baseline/dispatch.rs
+++ b/forwarder/emulator/src/deciders/baseline/dispatch.rs
@@ -1,4 +1,4 @@
-//! What a baseline does with queued events: attempts them, oldest first, or completes them.
+//! Handles the queued events of a baseline: attempts them, oldest first, or completes them.
 
 use plankhill_decisions::interface::{Idempotency, Ms};
 use rand::Rng;
@@ -33,11 +33,12 @@
         }
     }
 
-    /// Whether no further attempt is possible.
-    pub(super) fn is_hopeless(&self, event: &Event, now: Ms) -> bool {
+    /// Whether the event can't be attempted again.
+    pub(super) fn is_exhausted(&self, event: &Event, now: Ms) -> bool {
         let at = now.max(event.not_before);
-        let spent = event.attempts >= self.config.max_attempts.min(self.options.attempts);
-        let ran_out = match (
+        let attempts_used_up =
+            event.attempts >= self.config.max_attempts.min(self.options.attempts);
+        let repeat_forbidden = match (
             event.may_have_run,
             self.config.traffic_types[event.traffic].idempotency,
         ) {
@@ -45,11 +46,11 @@
             (Some(_), Idempotency::NonIdempotent) => true,
             (Some((sent, _)), Idempotency::Deduplicated { window, .. }) => at >= sent + window,
         };
-        spent || ran_out || now >= event.deadline - DEADLINE_MARGIN
+        attempts_used_up || repeat_forbidden || now >= event.deadline - DEADLINE_MARGIN
     }
 
     pub(super) fn complete(&mut self, key: EventKey, now: Ms, out: &mut Vec<Decision>) {
-        let event = self.events.get_mut(&key).expect("held");
+        let event = self.events.get_mut(&key).expect("the event is pending");
         let idempotency = self.config.traffic_types[event.traffic].idempotency;
         let bound = matches!(
             idempotency,
@@ -83,7 +84,7 @@
         let queued_events: Vec<EventKey> = to.queued_events.values().copied().collect();
         let mut next = f64::INFINITY;
         for key in queued_events {
-            if self.is_hopeless(&self.events[&key], now) {
+            if self.is_exhausted(&self.events[&key], now) {
                 self.complete(key, now, out);
                 continue;
             }
@@ -127,7 +128,7 @@
     }
 
     pub(super) fn send(&mut self, key: EventKey, id: u32, now: Ms, out: &mut Vec<Decision>) {
-        let event = self.events.get_mut(&key).expect("held");
+        let event = self.events.get_mut(&key).expect("the event is pending");
         let to = self.destinations.get_mut(&id).expect("seen");
         let idempotency = self.config.traffic_types[event.traffic].idempotency;
         let bound = matches!(
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -1,5 +1,5 @@
-//! Who decides at a forwarder: the decision module or a baseline, behind one trait. The world hands
-//! over inputs and carries out decisions.
+//! The deciders of forwarders: the decision module or a baseline, behind one trait. The world passes
+//! the inputs to the decider and carries out its decisions.
 
 mod baseline;
 mod module;
@@ -13,7 +13,7 @@
 
 new_key_type! { pub struct EventKey; }
 
-/// What came in at a forwarder, with the numbers of the simulation.
+/// An input at a forwarder, with the ids of the simulation.
 #[derive(Clone, Debug)]
 pub enum Input {
     EndpointListed {
@@ -26,7 +26,8 @@
     EndpointRemoved {
         target: u32,
     },
-    /// `again`: after a restart, so that the completion goes by a notification.
+    /// An accepted event. `again`: handed over after a restart, so that its completion goes by a
+    /// notification.
     Accepted {
         event: EventKey,
         destination: u32,
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -1,4 +1,4 @@
-//! The decision module through its public interface.
+//! The decision module as a decider, used through its public interface.
 
 use plankhill_decisions::interface::{
     AttemptReport, DecisionConfig, DestinationId, DestinationKindId, Effects, EndpointState,
@@ -12,8 +12,8 @@
 pub struct ModuleDecider {
     forwarder: Scheduler,
     names: TargetNames,
-    /// Events accepted in the present iteration: their client still waits, so that no notification
-    /// is needed.
+    /// Events accepted in the present iteration: their client is still waiting for the response, so
+    /// that no notification is needed.
     accepted_now: Vec<EventKey>,
 }
 
@@ -127,7 +127,7 @@
             )
         }
         Input::HealthCheckEnded { target, outcome } => {
-            // The scheduler may have forgotten the target since; the outcome says nothing then.
+            // The scheduler may have removed the target in the meantime; the outcome is irrelevant then.
             let _ = to.on_health_check_ended(&name(target), outcome);
         }
         Input::CompletionAcknowledged { event } => to.on_completion_acknowledged(&event_id(event)),
--- a/forwarder/emulator/src/lib.rs
+++ b/forwarder/emulator/src/lib.rs
@@ -2,8 +2,8 @@
 //! limits, queues and outages, the network, clients, and the forwarders themselves, each with the
 //! real decision module or a baseline.
 //!
-//! One seed gives one result. Nothing here does any I/O. `docs/emulator.md` describes the model and
-//! what it leaves out. The command line (`plankhill emulate`) and the experiments call [`play`].
+//! The result is determined by the seed. Nothing here does any I/O. `docs/emulator.md` describes the
+//! model and what it leaves out. The command line (`plankhill emulate`) and the experiments call [`play`].
 
 mod affected;
 pub mod bound;
--- a/forwarder/emulator/src/outcome.rs
+++ b/forwarder/emulator/src/outcome.rs
@@ -1,5 +1,5 @@
-//! The outcome of a simulated day: totals, series over time, and all that is needed to simulate it
-//! again.
+//! The outcome of a simulated day: totals, series over time, and everything needed to simulate the
+//! day again.
 //!
 //! `plankhill emulate --json` prints an [`Outcome`]; the names of its fields are that output's
 //! form.
@@ -9,13 +9,13 @@
 use plankhill_forwarder_config::scenario::Ms;
 use serde::{Deserialize, Serialize};
 
-/// What kept value from being delivered.
+/// Why value was not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LossCause {
     /// Delivered past the latency target.
     Late,
-    /// Never attempted: the lane was offline, or others were first.
+    /// Never attempted: the lane was offline, or other events were first.
     Waited,
     /// The last attempt was rejected.
     Refused,
@@ -29,7 +29,7 @@
     MayHaveRun,
     /// Rejected at submission.
     NoRoom,
-    /// No forwarder was there, or its machine was lost.
+    /// No forwarder was up, or its machine was lost.
     NoForwarder,
     /// The day ended before the event was completed.
     DayOver,
@@ -40,15 +40,15 @@
     pub fn description(self) -> &'static str {
         match self {
             LossCause::Late => "delivered late",
-            LossCause::Waited => "never sent: parked or behind others",
-            LossCause::Refused => "refused by the destination",
+            LossCause::Waited => "never attempted: lane offline or other events first",
+            LossCause::Refused => "rejected by the destination",
             LossCause::Unconnected => "no connection",
             LossCause::Unanswered => "no answer in time",
-            LossCause::Failed => "error or cut off",
-            LossCause::MayHaveRun => "may have run, could not be sent again",
-            LossCause::NoRoom => "turned away at the door",
-            LossCause::NoForwarder => "no forwarder, or its machine lost",
-            LossCause::DayOver => "the day ended first",
+            LossCause::Failed => "error or reset",
+            LossCause::MayHaveRun => "may have run, could not be retried",
+            LossCause::NoRoom => "rejected at submission",
+            LossCause::NoForwarder => "no forwarder up, or its machine lost",
+            LossCause::DayOver => "the day ended before completion",
         }
     }
 }
@@ -58,13 +58,13 @@
 pub struct Totals {
     /// Events of clients, each counted once.
     pub events: u64,
-    /// Submissions of events, each counted as often as it came.
+    /// Submissions of events, repeated ones included.
     pub handed_in: u64,
     /// Events that a forwarder accepted.
     pub taken: u64,
     /// Events that were delivered.
     pub delivered: u64,
-    /// Events that were rejected, each counted as often as it was.
+    /// Events that were rejected, each counted once per rejection.
     pub dismissed: u64,
     /// Events that were abandoned.
     pub written_off: u64,
@@ -129,7 +129,7 @@
     pub width: Ms,
     /// The value of events by when they were first submitted.
     pub asked: Vec<f64>,
-    /// What of that value was delivered in the end.
+    /// The part of that value that was delivered in the end.
     pub paid: Vec<f64>,
     /// Calls.
     pub calls: Vec<u64>,
@@ -141,7 +141,7 @@
     pub held: Vec<u64>,
     /// Calls in flight at the end of the step.
     pub out: Vec<u64>,
-    /// Calls that came to destinations with a fault.
+    /// Calls that reached destinations with a fault.
     pub load: Vec<f64>,
     /// Calls that those destinations could have served.
     pub capacity: Vec<f64>,
@@ -186,11 +186,11 @@
 /// The outcome of a simulated day.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// What the scenario is about.
+    /// The scenario's description.
     pub about: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// Who decided at the forwarders: the decision module or a baseline.
+    /// What made the decisions at the forwarders: the decision module or a baseline.
     pub decisions: String,
     /// The length of the day in milliseconds.
     pub length: Ms,
--- a/forwarder/emulator/src/queue.rs
+++ b/forwarder/emulator/src/queue.rs
@@ -1,14 +1,13 @@
-//! The queue of what is still to happen, by its time. A radix heap: time never runs backwards in a
-//! model, so that an entry needs to be looked at again only when the time comes near it.
-//! `docs/emulator.md` has the measurement that chose it over a binary heap.
+//! The queue of future steps, ordered by time. A radix heap: time is monotonic in the simulation, so
+//! that an entry is sorted again only as its time approaches. It was chosen over a binary heap by the
+//! measurement in `docs/emulator.md`.
 
 use plankhill_forwarder_config::scenario::Ms;
 
-/// Entries leave in the order of their time; those of one instant in the order in which they were
-/// put in.
+/// Entries are removed in the order of their time; entries of one instant in the order of insertion.
 pub struct Queue<T> {
-    /// Bucket 0 holds what is due at `last`; bucket n what differs from it in bit n - 1 at the
-    /// highest.
+    /// Bucket 0 contains the entries due at `last`; bucket n those whose time differs from `last` in
+    /// bit n - 1 as the highest bit.
     buckets: Vec<Vec<(u64, T)>>,
     due: std::collections::VecDeque<T>,
     last: u64,
@@ -28,9 +27,9 @@
 }
 
 impl<T> Queue<T> {
-    /// `at` is no earlier than what was last popped: an earlier time counts as that one.
+    /// Adds an entry. A time earlier than the last one popped counts as the last one popped.
     pub fn put(&mut self, at: Ms, entry: T) {
-        // The bits of times that are not negative are in their order.
+        // Nonnegative floats have the same order as their bits.
         let key = at.max(0.0).to_bits().max(self.last);
         self.len += 1;
         match Self::bucket(key, self.last) {
@@ -45,7 +44,10 @@
             self.advance()?;
         }
         self.len -= 1;
-        let entry = self.due.pop_front().expect("advanced to one at least");
+        let entry = self
+            .due
+            .pop_front()
+            .expect("advance found at least one entry");
         Some((f64::from_bits(self.last), entry))
     }
 
@@ -54,7 +56,7 @@
         self.len
     }
 
-    /// Whether nothing is left to happen.
+    /// Whether the queue has no entries.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -63,7 +65,7 @@
         64 - (key ^ last).leading_zeros() as usize
     }
 
-    /// Moves on to the earliest time and sorts its bucket's entries into lower ones, keeping their
+    /// Advances to the earliest time and sorts its bucket's entries into lower ones, keeping their
     /// order.
     fn advance(&mut self) -> Option<()> {
         let lowest = self.buckets.iter().position(|bucket| !bucket.is_empty())?;
@@ -79,7 +81,7 @@
                 bucket => self.buckets[bucket].push((key, entry)),
             }
         }
-        // The allocation is kept for later entries, unless a burst had left it far too large.
+        // The allocation is kept for later entries, unless a burst left it far too large.
         if entries.capacity() <= 4096 {
             self.buckets[lowest] = entries;
         }
--- a/forwarder/emulator/src/random.rs
+++ b/forwarder/emulator/src/random.rs
@@ -1,31 +1,31 @@
-//! Random numbers: one portable stream for each concern, so that a change in one draws nothing from
-//! another.
+//! Random numbers: one portable stream for each purpose, so that a change in the use of one stream
+//! does not affect the others.
 
 use plankhill_forwarder_config::scenario::{Answer, Ms, Shape};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, LogNormal, Pareto};
 
-/// What a stream of random numbers is for.
+/// The purpose of a stream of random numbers.
 #[derive(Clone, Copy)]
 pub enum RandomStream {
-    /// When clients submit events, and which.
+    /// Times and choice of the events that clients submit.
     Arrivals = 1,
-    /// How long targets work.
+    /// Service times of targets.
     Answers = 2,
     /// Latency and loss of messages.
     Network = 3,
     /// The layer before the forwarders.
     Front = 4,
-    /// Which destinations and forwarders a fault strikes.
+    /// The destinations and forwarders that a fault affects.
     Affected = 5,
-    /// What a fault does to a call.
+    /// The effect of a fault on a call.
     Faults = 6,
-    /// When forwarders learn of the endpoint list.
+    /// Times at which forwarders receive updates of the endpoint list.
     Lists = 7,
-    /// When clients submit an event again.
+    /// Times at which clients submit an event again.
     Returns = 8,
-    /// How targets differ.
+    /// Differences between targets.
     Targets = 9,
     /// The decisions of baselines.
     Baselines = 10,
@@ -40,7 +40,7 @@
 
 /// Uniformly distributed from 0 to 1.
 pub fn uniform(rng: &mut ChaCha8Rng) -> f64 {
-    // The top 53 bits, as whole numbers: the same on every machine.
+    // Computed from the top 53 bits as an integer, so that the result is the same on every machine.
     (rng.random::<u64>() >> 11) as f64 / (1u64 << 53) as f64
 }
 
@@ -65,11 +65,12 @@
 }
 
 impl AnswerTimes {
-    /// The mean of all answers is the stated one: a tail takes from the body what it adds.
+    /// The mean over all answers is the configured one: the mean of the body is reduced by what the
+    /// tail adds.
     pub fn new(of: &Answer) -> Self {
         let tailed = of.shape == Shape::Tailed;
         let tail_share = if tailed { of.tail } else { 0.0 };
-        // The tail starts at twice the stated mean; its mean is alpha / (alpha - 1) times that.
+        // The tail starts at twice the configured mean; its mean is alpha / (alpha - 1) times that.
         let start = 2.0 * of.mean;
         let tail_mean = start * of.alpha / (of.alpha - 1.0);
         let body_mean =
--- a/forwarder/emulator/src/rate_limiter.rs
+++ b/forwarder/emulator/src/rate_limiter.rs
@@ -1,14 +1,13 @@
-//! The rate limit of a destination: a call at some time is admitted, or rejected with a
-//! retry-after.
+//! The rate limit of a destination, which admits a call or rejects it with a retry-after.
 
 use std::collections::VecDeque;
 
 use plankhill_forwarder_config::scenario::{Limit, LimitKind, Ms};
 
-/// How much of a limit is used.
+/// The usage of a limit.
 #[derive(Clone, Debug, Default)]
 pub struct RateLimiter {
-    /// Calls in the window, or tokens that were taken, as of `at`.
+    /// Calls in the window, or tokens taken, as of `at`.
     used: f64,
     at: Ms,
     /// The calls in a sliding window.
@@ -18,7 +17,8 @@
 }
 
 impl RateLimiter {
-    /// Admits a call, or says when the limit admits the next one, if the kind of limit knows.
+    /// Admits a call, or returns the time at which the limit admits the next one, if the kind of limit
+    /// determines that.
     /// `factor` is the share of the limit that a fault leaves.
     pub fn admit(&mut self, limit: &Limit, factor: f64, now: Ms) -> Result<(), Option<Ms>> {
         let calls = limit.calls * factor;
@@ -65,7 +65,7 @@
                     self.recent.pop_front();
                 }
                 let fits = (self.recent.len() as f64) + 1.0 <= calls;
-                // Rejected calls are remembered up to the limit: more could not matter.
+                // Rejected calls are recorded up to the limit only: more would make no difference.
                 if !fits && limit.refused_count {
                     self.recent.pop_front();
                 }
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Calls a second that the limit admits in the long run.
+    /// Calls per second that the limit admits in the long run.
     pub fn rate(limit: &Limit) -> f64 {
         match limit.kind {
             LimitKind::Rate => limit.calls,
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -1,5 +1,5 @@
-//! Counts while a day is simulated. The size follows the scenario's traffic types and the steps of
-//! the series.
+//! Counts kept while a day is simulated. Their size depends on the scenario's traffic types and the
+//! steps of the series.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::affected::{self, Affected};
-use crate::clients::{worth, ClientEvent};
+use crate::clients::{value_at, ClientEvent};
 use crate::outcome::{
     FaultInterval, HeatRow, LossCause, Outcome, RuleCount, Series, Totals, TrafficOutcome,
 };
@@ -36,12 +36,12 @@
     rows: FxHashMap<u32, usize>,
     heat: Vec<HeatRow>,
     /// Destinations that a fault strikes, in order.
-    pub struck: Vec<u32>,
+    pub affected: Vec<u32>,
     width: Ms,
 }
 
 impl Tally {
-    pub fn new(scenario: &Scenario, struck: &Affected) -> Self {
+    pub fn new(scenario: &Scenario, affected: &Affected) -> Self {
         let width = scenario.length / STEPS as f64;
         let zeros = vec![0; STEPS];
         let series = Series {
@@ -65,19 +65,19 @@
             times: Histogram::new_with_bounds(1, 10_000_000_000, 2).expect("bounds are in order"),
         });
         // A fault that strikes all destinations singles none out.
-        let all = struck.weights.len();
-        let mut struck_ones: Vec<u32> = struck
+        let all = affected.weights.len();
+        let mut affected_destinations: Vec<u32> = affected
             .destinations
             .iter()
             .filter(|list| list.len() < all || all <= ROWS)
             .flatten()
             .copied()
             .collect();
-        struck_ones.sort_unstable();
-        struck_ones.dedup();
-        let by_use = affected::by_use(&struck.weights);
-        let is_struck = |at: &u32| struck_ones.binary_search(at).is_ok();
-        let half = by_use.iter().filter(|at| is_struck(at)).take(ROWS / 2);
+        affected_destinations.sort_unstable();
+        affected_destinations.dedup();
+        let by_use = affected::by_use(&affected.weights);
+        let is_affected = |at: &u32| affected_destinations.binary_search(at).is_ok();
+        let half = by_use.iter().filter(|at| is_affected(at)).take(ROWS / 2);
         let mut shown: Vec<u32> = half.copied().collect();
         let rest: Vec<u32> = by_use
             .iter()
@@ -90,10 +90,10 @@
             .iter()
             .map(|&destination| HeatRow {
                 destination,
-                group: scenario.destinations[struck.groups[destination as usize] as usize]
+                group: scenario.destinations[affected.groups[destination as usize] as usize]
                     .name
                     .clone(),
-                struck: is_struck(&destination),
+                struck: is_affected(&destination),
                 calls: vec![0; STEPS],
                 failed: vec![0; STEPS],
             })
@@ -109,7 +109,7 @@
                 .map(|(row, at)| (*at, row))
                 .collect(),
             heat,
-            struck: struck_ones,
+            affected: affected_destinations,
             width,
         }
     }
@@ -131,7 +131,7 @@
 
     pub fn delivered(&mut self, scenario: &Scenario, client_event: &ClientEvent, at: Ms) {
         let traffic = &scenario.traffic[client_event.traffic as usize];
-        let paid = worth(traffic, client_event.first_at, at);
+        let paid = value_at(traffic, client_event.first_at, at);
         self.totals.delivered += 1;
         self.totals.paid += paid;
         let step = self.step(client_event.first_at);
@@ -147,8 +147,14 @@
             .saturating_record(((at - client_event.first_at) * 1000.0).max(1.0) as u64);
     }
 
-    /// The event will not be delivered any more, whatever its client does: its value is lost.
-    pub fn unpaid(&mut self, scenario: &Scenario, client_event: &ClientEvent, cause: LossCause) {
+    /// Records the loss of the event's value: the event can no longer be delivered, whatever its client
+    /// does.
+    pub fn record_loss(
+        &mut self,
+        scenario: &Scenario,
+        client_event: &ClientEvent,
+        cause: LossCause,
+    ) {
         *self.causes.entry(cause).or_default() +=
             scenario.traffic[client_event.traffic as usize].payoff;
     }
@@ -176,7 +182,7 @@
     }
 
     pub fn load(&mut self, destination: u32, at: Ms) {
-        if self.struck.binary_search(&destination).is_ok() {
+        if self.affected.binary_search(&destination).is_ok() {
             let step = self.step(at);
             self.series.load[step] += 1.0;
         }
--- a/forwarder/emulator/src/world/answers.rs
+++ b/forwarder/emulator/src/world/answers.rs
@@ -1,4 +1,4 @@
-//! The way back of a call, and everything that ends the forwarder's side of the call.
+//! The response to a call, and everything else that ends the forwarder's side of the call.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_forwarder_config::scenario::FaultKind;
@@ -33,9 +33,9 @@
         };
         active.iter().any(|&at| {
             let fault = &self.scenario.faults[at as usize];
-            let struck = (fault.strength * self.forwarders.len() as f64).ceil();
+            let affected = (fault.strength * self.forwarders.len() as f64).ceil();
             fault.kind == FaultKind::CutOneWay
-                && (forwarder as f64) < struck
+                && (forwarder as f64) < affected
                 && self.covers(at, target)
         })
     }
@@ -45,7 +45,7 @@
             return;
         };
         if call.abandoned_by_sender {
-            if !call.there {
+            if !call.is_at_target {
                 self.calls.remove(key);
             }
             return;
@@ -67,7 +67,7 @@
         self.call_over(key, outcome, 0.0);
     }
 
-    /// The forwarder learns how the call ended, with its next iteration.
+    /// Reports the call's outcome to the forwarder, which handles it in its next iteration.
     pub(super) fn call_over(&mut self, key: CallKey, outcome: AttemptOutcome, wait: Ms) {
         let call = &mut self.calls[key];
         call.abandoned_by_sender = true;
@@ -78,7 +78,7 @@
         let began = call.began;
         let in_outage = call.in_outage;
         let written = call.written;
-        let there = call.there;
+        let at_target = call.is_at_target;
         let members = call.members.clone();
         let destination = self.targets[target as usize].destination;
         let good = outcome == AttemptOutcome::Delivered;
@@ -116,17 +116,17 @@
                 Some((lane, written)),
             );
         }
-        // A connection that is still being set up is returned when it is up.
-        let coming_up =
+        // A connection that is still being set up is returned once it is established.
+        let is_connecting =
             !written && outcome != AttemptOutcome::ConnectFailed && self.tracked(destination);
-        if !there && !coming_up {
+        if !at_target && !is_connecting {
             self.calls.remove(key);
         }
     }
 
     /// Resets all calls at targets of the destination that are down now; half of those in service
     /// have run.
-    pub(super) fn break_calls(&mut self, destination: u32) {
+    pub(super) fn reset_calls(&mut self, destination: u32) {
         let targets: Vec<u32> = self.destinations[destination as usize].targets.clone();
         let down: Vec<u32> = targets
             .into_iter()
@@ -138,23 +138,23 @@
         {
             return;
         }
-        let there = self
+        let at_target = self
             .calls
             .iter()
-            .filter(|(_, call)| call.there && down.contains(&call.target));
-        let there: Vec<CallKey> = there.map(|(key, _)| key).collect();
+            .filter(|(_, call)| call.is_at_target && down.contains(&call.target));
+        let at_target: Vec<CallKey> = at_target.map(|(key, _)| key).collect();
         for target in &down {
             let target_state = &mut self.targets[*target as usize];
             target_state.busy = 0;
             target_state.waiting.clear();
         }
-        for key in there {
+        for key in at_target {
             let ran = self.calls[key].served && uniform(&mut self.rng_faults) < 0.5;
             if ran {
                 self.apply(key);
             }
             let call = &mut self.calls[key];
-            call.there = false;
+            call.is_at_target = false;
             let gauge = &mut self.lanes[call.lane as usize].gauge;
             gauge.inside = gauge.inside.saturating_sub(1);
             if call.abandoned_by_sender {
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -1,8 +1,8 @@
 //! A call at its target: the limit, the queue and the servers. The forwarder's side of a call may
-//! be over (timed out) while the target's is not; the call is forgotten when both are over.
+//! be over (timed out) while the target's is not; the call is removed when both are over.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
-use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_forwarder_config::scenario::Idempotency;
 use plankhill_invariants::Observation;
 
 use super::state::{Call, Event, Member};
@@ -10,11 +10,11 @@
 use crate::deciders::EventKey;
 use crate::random::uniform;
 
-/// The weight of each further event of a call, against the first: only a little, by the
-/// deployments' pages.
-const RIDER: f64 = 0.25;
-/// The work of a health check, against an event of one unit of work.
-const PING_WORK: f64 = 0.2;
+/// The weight of each further event of a call, relative to the first: a small one, as the deployments' documentation
+/// states.
+const EXTRA_EVENT_WEIGHT: f64 = 0.25;
+/// The work of a health check, relative to an event of one unit of work.
+const HEALTH_CHECK_WORK: f64 = 0.2;
 
 impl World<'_> {
     pub(super) fn begin_call(
@@ -44,7 +44,14 @@
         let works = members
             .iter()
             .map(|member| self.scenario.traffic[member.traffic as usize].work);
-        let work = works.fold(if is_health_check { PING_WORK } else { 0.0 }, f64::max);
+        let work = works.fold(
+            if is_health_check {
+                HEALTH_CHECK_WORK
+            } else {
+                0.0
+            },
+            f64::max,
+        );
         let attempts = members.len() as u64;
         let target_state = &self.targets[target as usize];
         let lane = target_state.lane;
@@ -61,7 +68,7 @@
             reused: false,
             dropped: false,
             abandoned_by_sender: false,
-            there: false,
+            is_at_target: false,
             served: false,
             in_outage: false,
             outcome: AttemptOutcome::Delivered,
@@ -93,7 +100,7 @@
         let lane = call.lane;
         let forwarder = call.forwarder;
         let reused = call.reused;
-        let weight = 1.0 + RIDER * call.members.len().saturating_sub(1) as f64;
+        let weight = 1.0 + EXTRA_EVENT_WEIGHT * call.members.len().saturating_sub(1) as f64;
         let destination = self.targets[target as usize].destination;
         let outage = self.lanes[lane as usize].outage;
         self.calls[key].in_outage |= outage;
@@ -111,7 +118,7 @@
             &self.scenario.destinations[self.destinations[destination as usize].group as usize];
         let admitted = self.lanes[lane as usize].gauge.admit(
             &group.limit,
-            fault_effects.left_of_limit,
+            fault_effects.limit_factor,
             self.now,
         );
         if let Err(admits_at) = admitted {
@@ -137,7 +144,7 @@
             self.calls[key].outcome = AttemptOutcome::Reset;
         }
         self.calls[key].never_answered = fault_effects.hung;
-        let servers = (group.servers as f64 * fault_effects.left_of_limit)
+        let servers = (group.servers as f64 * fault_effects.limit_factor)
             .ceil()
             .max(1.0) as u32;
         let room = group.queue;
@@ -149,7 +156,7 @@
         } else if target_state.waiting.len() < room {
             target_state.waiting.push_back(key);
             self.lanes[lane as usize].gauge.inside += 1;
-            self.calls[key].there = true;
+            self.calls[key].is_at_target = true;
         } else {
             self.respond(key, AttemptOutcome::Rejected, 0.0);
         }
@@ -158,7 +165,7 @@
     pub(super) fn serve(&mut self, key: CallKey) {
         let (target, lane, work) = {
             let call = &mut self.calls[key];
-            (call.there, call.served) = (true, true);
+            (call.is_at_target, call.served) = (true, true);
             (call.target, call.lane, call.work)
         };
         let target_state = &self.targets[target as usize];
@@ -173,10 +180,10 @@
         let Some(call) = self.calls.get_mut(key) else {
             return;
         };
-        if !call.there {
-            return; // it was broken off there
+        if !call.is_at_target {
+            return; // the call was reset at the target
         }
-        call.there = false;
+        call.is_at_target = false;
         let target = call.target;
         let lane = call.lane;
         let outcome = call.outcome;
@@ -193,7 +200,7 @@
         }
     }
 
-    /// The effects of the call's events come about.
+    /// Applies the effects of the call's events.
     pub(super) fn apply(&mut self, key: CallKey) {
         let members = std::mem::take(&mut self.calls[key].members);
         for &Member {
@@ -216,9 +223,9 @@
     pub(super) fn effect(&self, traffic: u8) -> plankhill_invariants::Idempotency {
         let of = &self.scenario.traffic[traffic as usize];
         match of.effect {
-            Repeats::Retriable => plankhill_invariants::Idempotency::Idempotent,
-            Repeats::Binding => plankhill_invariants::Idempotency::NonIdempotent,
-            Repeats::Fingerprinted => plankhill_invariants::Idempotency::Deduplicated {
+            Idempotency::Idempotent => plankhill_invariants::Idempotency::Idempotent,
+            Idempotency::NonIdempotent => plankhill_invariants::Idempotency::NonIdempotent,
+            Idempotency::Deduplicated => plankhill_invariants::Idempotency::Deduplicated {
                 window: of.window,
                 one_group: of.one_zone,
             },
@@ -230,7 +237,7 @@
         gauge.inside = gauge.inside.saturating_sub(1);
         let target_state = &mut self.targets[target as usize];
         while let Some(next) = target_state.waiting.pop_front() {
-            if self.calls.get(next).is_some_and(|call| call.there) {
+            if self.calls.get(next).is_some_and(|call| call.is_at_target) {
                 return self.serve(next);
             }
         }
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -6,12 +6,12 @@
 use super::state::IdleConnection;
 use super::{CallKey, Step, World};
 
-/// A forwarder closes a connection that has been idle for so long.
-const IDLE_KEPT: Ms = 13_500.0;
+/// A forwarder closes a connection that has been idle for this long.
+const IDLE_TIMEOUT: Ms = 13_500.0;
 
 impl World<'_> {
-    /// Reuses an idle connection or opens one. Where a group does not model connections, one is
-    /// always open to a target that is up.
+    /// Reuses an idle connection or opens one. If the group does not model connections, a connection
+    /// to a target that is up is always open.
     pub(super) fn connect(&mut self, key: CallKey) {
         let forwarder = self.calls[key].forwarder;
         let target = self.calls[key].target;
@@ -34,10 +34,10 @@
         if !fault_effects.down && !full && !tracked {
             return self.write(key);
         }
-        let there = self.travel(from, to);
+        let outbound = self.travel(from, to);
         let back = self.travel(to, from);
-        let (Some(there), Some(back)) = (there, back) else {
-            // Nothing comes back: the connection counts as failed after its timeout.
+        let (Some(outbound), Some(back)) = (outbound, back) else {
+            // No response arrives: the connection counts as failed after its timeout.
             self.calls[key].outcome = AttemptOutcome::ConnectFailed;
             self.queue.put(
                 self.now + self.scenario.network.connect_time_out,
@@ -49,12 +49,13 @@
             let outage = self.lanes[self.targets[target as usize].lane as usize].outage;
             let call = &mut self.calls[key];
             (call.outcome, call.in_outage) = (AttemptOutcome::ConnectFailed, outage);
-            self.queue.put(self.now + there + back, Step::Answered(key));
+            self.queue
+                .put(self.now + outbound + back, Step::Answered(key));
             return;
         }
         self.targets[target as usize].connections += 1;
         self.queue
-            .put(self.now + there + back + set_up, Step::Connected(key));
+            .put(self.now + outbound + back + set_up, Step::Connected(key));
     }
 
     pub(super) fn tracked(&self, destination: u32) -> bool {
@@ -77,14 +78,14 @@
         }
         let forwarder = &self.forwarders[call.forwarder as usize];
         if forwarder.stalled_until > self.now {
-            // The forwarder does not wait for the call any more: nobody writes it.
+            // The forwarder no longer waits for the call, so that it is never written.
             let later = forwarder.stalled_until;
             return self.queue.put(later, Step::Connected(key));
         }
         self.write(key);
     }
 
-    /// The first byte leaves: from now on the call may run.
+    /// Writes the call's first byte: from now on the call may run.
     pub(super) fn write(&mut self, key: CallKey) {
         let call = &mut self.calls[key];
         call.written = true;
@@ -132,9 +133,9 @@
         let open = idle.get_mut(&target)?;
         let closed = open
             .iter()
-            .filter(|idle| idle.since + IDLE_KEPT <= now && !idle.dropped)
+            .filter(|idle| idle.since + IDLE_TIMEOUT <= now && !idle.dropped)
             .count();
-        open.retain(|idle| idle.since + IDLE_KEPT > now);
+        open.retain(|idle| idle.since + IDLE_TIMEOUT > now);
         let taken = open.pop();
         if open.is_empty() {
             idle.remove(&target);
@@ -172,16 +173,16 @@
         }
     }
 
-    /// The target drops a connection that has been idle since then, without notice: the next call
+    /// The target drops a connection that has been idle since `since`, without notice: the next call
     /// on that connection is reset.
     pub(super) fn drop_idle_connection(&mut self, forwarder: u32, target: u32, since: Ms) {
         let Some(open) = self.forwarders[forwarder as usize].idle.get_mut(&target) else {
             return;
         };
-        let stands = open
+        let idle_connection = open
             .iter_mut()
             .find(|idle| idle.since == since && !idle.dropped);
-        if let Some(idle) = stands {
+        if let Some(idle) = idle_connection {
             idle.dropped = true;
             self.close_connections(target, 1);
         }
--- a/forwarder/emulator/src/world/destinations.rs
+++ b/forwarder/emulator/src/world/destinations.rs
@@ -1,4 +1,4 @@
-//! Destinations as they truly are: their capacity, their faults, and how far they have warmed up.
+//! The actual state of destinations: their capacity, their faults, and how far they have warmed up.
 
 use std::collections::VecDeque;
 
@@ -26,11 +26,11 @@
     pub busy: u32,
     pub waiting: VecDeque<CallKey>,
     pub connections: u32,
-    /// What the endpoint list says now.
+    /// The target's present state in the endpoint list.
     pub listing: EndpointState,
-    /// The changes of the endpoint list that concern the target; running before.
+    /// The changes of the endpoint list that concern the target. Before the first, the target is running.
     pub introduced: Vec<(u32, EndpointState)>,
-    /// The target is removed and not there any more.
+    /// The target is removed and no longer exists.
     pub left: bool,
 }
 
@@ -46,11 +46,11 @@
 
 pub(super) struct WarmUp {
     pub since: Ms,
-    /// Recent load: when, from which forwarder, how much.
+    /// Recent load: time, forwarder and weight.
     pub recent: VecDeque<(Ms, u32, f64)>,
 }
 
-/// All that faults do to a target now.
+/// The present effects of all faults on a target.
 #[derive(Clone, Copy)]
 pub(super) struct FaultEffects {
     pub down: bool,
@@ -60,7 +60,7 @@
     pub slow: f64,
     pub erring: f64,
     pub resetting: f64,
-    pub left_of_limit: f64,
+    pub limit_factor: f64,
 }
 
 const NO_FAULT: FaultEffects = FaultEffects {
@@ -71,7 +71,7 @@
     slow: 1.0,
     erring: 0.0,
     resetting: 0.0,
-    left_of_limit: 1.0,
+    limit_factor: 1.0,
 };
 
 impl FaultEffects {
@@ -83,14 +83,14 @@
 
 pub(super) fn build(
     scenario: &Scenario,
-    struck: &Affected,
+    affected: &Affected,
     seed: u64,
 ) -> (Vec<Destination>, Vec<Target>, Vec<Lane>) {
     let mut rng = stream(seed, RandomStream::Targets);
     let mut destinations = Vec::new();
     let mut targets = Vec::new();
     let mut lanes = Vec::new();
-    for (at, &group) in struck.groups.iter().enumerate() {
+    for (at, &group) in affected.groups.iter().enumerate() {
         let of = &scenario.destinations[group as usize];
         let first_lane = lanes.len();
         let first_target = targets.len();
@@ -150,14 +150,15 @@
         }
     }
 
-    /// The target's state for a forwarder that knows so many changes of the endpoint list.
+    /// The target's state as known to a forwarder that has received the first `changes` changes of the
+    /// endpoint list.
     pub fn as_of(&self, changes: usize) -> EndpointState {
-        let heard = self
+        let last_known = self
             .introduced
             .iter()
             .rev()
             .find(|(change, _)| (*change as usize) < changes);
-        heard.map_or(EndpointState::Running, |(_, listing)| *listing)
+        last_known.map_or(EndpointState::Running, |(_, listing)| *listing)
     }
 }
 
@@ -192,7 +193,7 @@
                 FaultKind::Resetting => {
                     fault_effects.resetting = fault_effects.resetting.max(fault.strength)
                 }
-                FaultKind::LimitLowered => fault_effects.left_of_limit *= fault.strength,
+                FaultKind::LimitLowered => fault_effects.limit_factor *= fault.strength,
                 _ => (),
             }
         }
@@ -201,26 +202,26 @@
 
     /// Whether the fault, which strikes the target's destination, strikes the target.
     pub(super) fn covers(&self, fault: u16, target: u32) -> bool {
-        let whom = &self.scenario.faults[fault as usize].whom;
+        let scope = &self.scenario.faults[fault as usize].scope;
         let target_state = &self.targets[target as usize];
-        let zone = whom
+        let zone = scope
             .zone
             .as_ref()
             .is_none_or(|zone| self.scenario.network.zones[target_state.zone as usize] == *zone);
         let all = self.group_of(target_state.destination).targets as f64;
-        zone && whom
+        zone && scope
             .targets
             .is_none_or(|share| (target_state.place as f64) < (share * all).ceil())
     }
 
-    /// Calls a second that a target serves when it is warm and healthy.
-    pub(super) fn full_pace(&self, target: u32) -> f64 {
+    /// Calls per second that a target serves when it is warmed up and healthy.
+    pub(super) fn nominal_rate(&self, target: u32) -> f64 {
         let target_state = &self.targets[target as usize];
         let group = self.group_of(target_state.destination);
         group.servers as f64 * 1000.0 / (group.answer.mean * target_state.factor)
     }
 
-    /// Calls a second that a lane can handle now, with warm-up and faults: bounded by its limit
+    /// Calls per second that a lane can handle now, with warm-up and faults: bounded by its limit
     /// (`limited`), or by its servers alone.
     pub(super) fn lane_capacity(&self, lane: u32, limited: bool) -> f64 {
         let of = self.lanes[lane as usize].destination;
@@ -234,8 +235,8 @@
                 && target_state.listing != EndpointState::Removed
                 && !fault_effects.is_outage()
             {
-                sum += self.full_pace(target) * fault_effects.left_of_limit / fault_effects.slow;
-                left = left.min(fault_effects.left_of_limit);
+                sum += self.nominal_rate(target) * fault_effects.limit_factor / fault_effects.slow;
+                left = left.min(fault_effects.limit_factor);
             }
         }
         let most = if limited {
--- a/forwarder/emulator/src/world/endpoint_list.rs
+++ b/forwarder/emulator/src/world/endpoint_list.rs
@@ -8,8 +8,8 @@
 use crate::random::{between, uniform};
 
 impl World<'_> {
-    /// Tells a forwarder's decider of a destination when the first event goes there: until then the
-    /// decider could do nothing with it.
+    /// Passes a destination's endpoints to a forwarder's decider with the first event for that
+    /// destination: the decider has no use for them before.
     pub(super) fn introduce_destination(
         &mut self,
         forwarder_id: u32,
@@ -22,9 +22,9 @@
         {
             return;
         }
-        let heard = self.forwarders[forwarder_id as usize].heard;
+        let known_changes = self.forwarders[forwarder_id as usize].known_changes;
         for target in self.destinations[destination as usize].targets.clone() {
-            let listing = self.targets[target as usize].as_of(heard);
+            let listing = self.targets[target as usize].as_of(known_changes);
             if listing != EndpointState::Removed {
                 self.list_one(forwarder_id, target, listing, inputs);
             }
@@ -59,7 +59,8 @@
         });
     }
 
-    /// The endpoint list changed at a target: every forwarder learns of that in its own time.
+    /// Records a change of the endpoint list at a target. Each forwarder receives the change after its
+    /// own delay.
     pub(super) fn list_changed(&mut self, target: u32, listing: EndpointState) {
         let change = self.changes.len() as u32;
         self.changes.push((self.now, target));
@@ -84,20 +85,19 @@
         self.queue.put(from, Step::ListUpdate(forwarder_id));
     }
 
-    /// The forwarder learns of all changes, or of some of them, and of the others with the next
-    /// update.
+    /// The forwarder receives all new changes, or some of them and the others with the next update.
     pub(super) fn receive_list_update(&mut self, forwarder_id: u32) {
         let partial = self.scenario.forwarders.list_partial;
         let it = &mut self.forwarders[forwarder_id as usize];
         if it.list_frozen_until > self.now {
-            let thaw = it.list_frozen_until;
-            return self.queue.put(thaw, Step::ListUpdate(forwarder_id));
+            let unfrozen_at = it.list_frozen_until;
+            return self.queue.put(unfrozen_at, Step::ListUpdate(forwarder_id));
         }
         it.list_update_scheduled = false;
-        let mut news = std::mem::take(&mut it.missed);
-        news.extend(it.heard as u32..self.changes.len() as u32);
-        it.heard = self.changes.len();
-        for change in news {
+        let mut pending_changes = std::mem::take(&mut it.missed);
+        pending_changes.extend(it.known_changes as u32..self.changes.len() as u32);
+        it.known_changes = self.changes.len();
+        for change in pending_changes {
             if partial > 0.0 && uniform(&mut self.rng_lists) < partial {
                 self.forwarders[forwarder_id as usize].missed.push(change);
                 continue;
@@ -134,8 +134,12 @@
         }
     }
 
-    /// How many of the list's changes every forwarder knows.
-    pub(super) fn forwarders_heard(&self) -> usize {
-        self.forwarders.iter().map(|it| it.heard).min().unwrap_or(0)
+    /// The number of the list's changes that all forwarders have received.
+    pub(super) fn changes_known_to_all(&self) -> usize {
+        self.forwarders
+            .iter()
+            .map(|it| it.known_changes)
+            .min()
+            .unwrap_or(0)
     }
 }
--- a/forwarder/emulator/src/world/faults.rs
+++ b/forwarder/emulator/src/world/faults.rs
@@ -1,6 +1,6 @@
-//! Faults begin, toggle and end. What a fault does to a call is read where the call meets the
-//! fault; the steps here change the world at an instant: endpoint lists, processes, calls that are
-//! reset, and outages.
+//! Begins, toggles and ends faults. The effect of a fault on a call is evaluated when the call
+//! reaches the target; the steps here change the world at an instant: endpoint lists, processes,
+//! calls that are reset, and outages.
 
 use plankhill_decisions::interface::{EndpointState, TargetId};
 use plankhill_forwarder_config::scenario::{FaultKind, Ms};
@@ -24,37 +24,38 @@
         let fault = &scenario.faults[fault_id as usize];
         let end = fault.start + fault.length;
         match fault.kind {
-            FaultKind::Flood | FaultKind::MassWake => (), // the clients' stream holds them
-            FaultKind::RetryStorm => self.storm = fault.strength.max(1.0),
+            FaultKind::Flood | FaultKind::MassWake => (), // the clients' stream contains their events
+            FaultKind::RetryStorm => self.retry_storm_factor = fault.strength.max(1.0),
             FaultKind::ForwarderKilled
             | FaultKind::ForwarderLost
             | FaultKind::ForwarderStalled
             | FaultKind::ForwarderReplaced => {
-                for (place, forwarder) in
-                    self.struck.forwarders[fault_id as usize].iter().enumerate()
+                for (place, forwarder) in self.affected.forwarders[fault_id as usize]
+                    .iter()
+                    .enumerate()
                 {
                     let when = fault.start + place as f64 * fault.apart;
                     if place == 0 || when <= end {
                         self.queue
-                            .put(when, Step::StrikeForwarder(fault_id, *forwarder));
+                            .put(when, Step::ApplyForwarderFault(fault_id, *forwarder));
                     }
                 }
             }
             FaultKind::ListFrozen => {
-                for forwarder in self.struck.forwarders[fault_id as usize].clone() {
+                for forwarder in self.affected.forwarders[fault_id as usize].clone() {
                     let it = &mut self.forwarders[forwarder as usize];
                     it.list_frozen_until = it.list_frozen_until.max(end);
                 }
             }
             FaultKind::Gone => {
-                for target in self.struck_targets(fault_id) {
+                for target in self.affected_targets(fault_id) {
                     self.list_changed(target, EndpointState::Draining);
                 }
                 self.queue
                     .put(self.now + fault.every, Step::RemoveDraining(fault_id));
             }
             FaultKind::Replaced => {
-                let targets = self.struck_targets(fault_id);
+                let targets = self.affected_targets(fault_id);
                 let step = fault.length / targets.len().max(1) as f64;
                 for (place, target) in targets.into_iter().enumerate() {
                     self.queue.put(
@@ -83,13 +84,13 @@
 
     pub(super) fn end_fault(&mut self, fault_id: u16) {
         match self.scenario.faults[fault_id as usize].kind {
-            FaultKind::RetryStorm => self.storm = 0.0,
+            FaultKind::RetryStorm => self.retry_storm_factor = 0.0,
             FaultKind::Gone => {
-                for target in self.struck_targets(fault_id) {
+                for target in self.affected_targets(fault_id) {
                     self.targets[target as usize].left = false;
                     self.list_changed(target, EndpointState::Running);
                 }
-                self.note_struck(fault_id);
+                self.record_affected(fault_id);
             }
             FaultKind::Down
             | FaultKind::Silent
@@ -105,20 +106,20 @@
         }
     }
 
-    /// A flapping fault toggles from down to up, or back.
+    /// Toggles a flapping fault between down and up.
     pub(super) fn toggle_fault(&mut self, fault_id: u16) {
         let fault = &self.scenario.faults[fault_id as usize];
         if self.now >= fault.start + fault.length {
             return;
         }
         self.flapped_down[fault_id as usize] = !self.flapped_down[fault_id as usize];
-        self.note_struck(fault_id);
+        self.record_affected(fault_id);
         self.queue
             .put(self.now + fault.every, Step::FaultToggles(fault_id));
     }
 
     fn switch(&mut self, fault_id: u16, on: bool, then: impl FnOnce(&mut Self)) {
-        for destination in self.struck.destinations[fault_id as usize].clone() {
+        for destination in self.affected.destinations[fault_id as usize].clone() {
             let active = self.active.entry(destination).or_default();
             active.retain(|fault| *fault != fault_id);
             if on {
@@ -128,18 +129,18 @@
             }
         }
         then(self);
-        self.note_struck(fault_id);
+        self.record_affected(fault_id);
     }
 
-    fn note_struck(&mut self, fault_id: u16) {
-        for destination in self.struck.destinations[fault_id as usize].clone() {
-            self.break_calls(destination);
+    fn record_affected(&mut self, fault_id: u16) {
+        for destination in self.affected.destinations[fault_id as usize].clone() {
+            self.reset_calls(destination);
             self.update_outages(destination);
         }
     }
 
-    fn struck_targets(&self, fault_id: u16) -> Vec<u32> {
-        let destinations = &self.struck.destinations[fault_id as usize];
+    fn affected_targets(&self, fault_id: u16) -> Vec<u32> {
+        let destinations = &self.affected.destinations[fault_id as usize];
         let targets = destinations
             .iter()
             .flat_map(|d| &self.destinations[*d as usize].targets);
@@ -149,9 +150,9 @@
             .collect()
     }
 
-    /// Draining targets are removed.
-    pub(super) fn gone_for_good(&mut self, fault_id: u16) {
-        for target in self.struck_targets(fault_id) {
+    /// Removes the draining targets.
+    pub(super) fn remove_drained_targets(&mut self, fault_id: u16) {
+        for target in self.affected_targets(fault_id) {
             if self.targets[target as usize].listing == EndpointState::Draining {
                 self.remove_target(target);
             }
@@ -161,11 +162,11 @@
     fn remove_target(&mut self, target: u32) {
         self.targets[target as usize].left = true;
         self.list_changed(target, EndpointState::Removed);
-        self.break_calls(self.targets[target as usize].destination);
+        self.reset_calls(self.targets[target as usize].destination);
     }
 
-    /// A target drains, and a new one is listed in its place at the same time. A target that still
-    /// drains after the notice period is removed.
+    /// Lets a target drain and lists a new one in its place at the same time. A target that is still
+    /// draining after the notice period is removed.
     pub(super) fn replace_one(&mut self, fault_id: u16, target: u32) {
         match self.targets[target as usize].listing {
             EndpointState::Running => {
@@ -184,7 +185,7 @@
                     .borrow_mut()
                     .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
-                // Unknown to the forwarders that do not know this change.
+                // Forwarders that have not received this change do not know the target.
                 self.targets[number as usize]
                     .introduced
                     .push((0, EndpointState::Removed));
@@ -196,28 +197,31 @@
             }
             EndpointState::Draining => {
                 self.remove_target(target);
-                // No forwarder needs the removed target any more once all know of its removal.
+                // The removed target is not needed once all forwarders have received its removal.
                 let destination = self.targets[target as usize].destination as usize;
                 let everyone = self.forwarders.len();
-                if everyone == 1 || self.destinations[destination].targets.len() > FORMER_KEPT {
-                    self.forget_former(destination);
+                if everyone == 1
+                    || self.destinations[destination].targets.len() > MAX_REMOVED_TARGETS
+                {
+                    self.drop_removed_targets(destination);
                 }
             }
             EndpointState::Removed => (),
         }
     }
 
-    /// Forgets removed targets of which every forwarder knows that.
-    fn forget_former(&mut self, destination: usize) {
-        let heard = self.forwarders_heard();
+    /// Drops the removed targets whose removal all forwarders have received.
+    fn drop_removed_targets(&mut self, destination: usize) {
+        let known_changes = self.changes_known_to_all();
         let targets = &self.targets;
         self.destinations[destination].targets.retain(|target| {
             let it = &targets[*target as usize];
-            it.listing != EndpointState::Removed || it.as_of(heard) != EndpointState::Removed
+            it.listing != EndpointState::Removed
+                || it.as_of(known_changes) != EndpointState::Removed
         });
     }
 
-    pub(super) fn strike_forwarder(&mut self, fault_id: u16, forwarder: u32) {
+    pub(super) fn apply_forwarder_fault(&mut self, fault_id: u16, forwarder: u32) {
         let fault = &self.scenario.faults[fault_id as usize];
         match fault.kind {
             FaultKind::ForwarderKilled => self.end_process(forwarder, fault.every, true),
@@ -228,5 +232,5 @@
     }
 }
 
-/// Removed targets of a destination are forgotten when there are more than so many.
-const FORMER_KEPT: usize = 64;
+/// Removed targets of a destination are dropped when the destination has more targets than this.
+const MAX_REMOVED_TARGETS: usize = 64;
--- a/forwarder/emulator/src/world/iterations.rs
+++ b/forwarder/emulator/src/world/iterations.rs
@@ -1,10 +1,10 @@
-//! Event loop iterations of a forwarder: inputs since the last one are handed over, and decisions
-//! carried out.
+//! Event loop iterations of a forwarder: pass the inputs since the last iteration to the decider and
+//! carry out its decisions.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use plankhill_invariants::{AttemptEnd, Observation};
 
-use super::processes::CLOSING_LEAST;
+use super::processes::MIN_SHUTDOWN_DURATION;
 use super::state::Incoming;
 use super::{Step, World};
 use crate::deciders::{Decision, EventKey, Input};
@@ -56,8 +56,8 @@
         let mut inputs = Vec::with_capacity(inbox.len());
         for incoming in inbox {
             match incoming {
-                Incoming::HandIn(client_event) => {
-                    self.coming -= 1;
+                Incoming::Submission(client_event) => {
+                    self.submissions_in_transit -= 1;
                     self.accept_submission(forwarder_id, client_event, &mut inputs)
                 }
                 Incoming::Input(input, about) => {
@@ -83,14 +83,14 @@
         }
         let forwarder = &self.forwarders[forwarder_id as usize];
         if forwarder.closing.is_some_and(|(since, _)| {
-            forwarder.pending_events == 0 && self.now >= since + CLOSING_LEAST
+            forwarder.pending_events == 0 && self.now >= since + MIN_SHUTDOWN_DURATION
         }) {
             self.end_process(forwarder_id, self.scenario.forwarders.restart, true);
         }
     }
 
-    /// Carries out the first decision, and those after it that share its call. Returns how many
-    /// that were.
+    /// Carries out the first decision and the following ones that share its call. Returns the number
+    /// of decisions carried out.
     pub(super) fn carry_out(&mut self, forwarder_id: u32, decisions: &[Decision]) -> usize {
         match decisions[0] {
             Decision::SendAttempt { target, .. } => {
@@ -119,8 +119,8 @@
             }
             Decision::WakeUp { pause } => {
                 let forwarder = &mut self.forwarders[forwarder_id as usize];
-                // The clock has a resolution of a microsecond: a wake-up is never for the present
-                // instant.
+                // The clock has a resolution of a microsecond, so that a wake-up is at least that far
+                // in the future.
                 let wake_up = (self.now + pause).max(self.now + 0.001);
                 if wake_up < forwarder.next_wake_up {
                     forwarder.next_wake_up = wake_up;
@@ -185,11 +185,13 @@
                 target, listing, ..
             } => self.list_one(forwarder_id, target, listing, inputs),
             Input::CompletionAcknowledged { event } => {
-                let Some(held) = self.events.remove(event) else {
+                let Some(pending) = self.events.remove(event) else {
                     return;
                 };
                 self.forwarders[forwarder_id as usize].pending_events -= 1;
-                self.observe(Observation::CompletionAcknowledged { event: held.number });
+                self.observe(Observation::CompletionAcknowledged {
+                    event: pending.number,
+                });
                 inputs.push(input);
             }
             other => inputs.push(other),
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -1,6 +1,5 @@
-//! The simulated day: what happens next, one step after another. The files beside this one have the
-//! parts of the world: destinations as they truly are, calls on their way, forwarders and their
-//! processes, and faults.
+//! The simulated day, advanced one step at a time. The submodules contain the parts of the world:
+//! the actual state of destinations, calls in flight, forwarders and their processes, and faults.
 
 mod answers;
 mod calls;
@@ -44,14 +43,14 @@
     queue: Queue<Step>,
     clients: Clients<'a>,
     next_arrival: Option<ClientEvent>,
-    struck: Affected,
+    affected: Affected,
     answers: Vec<AnswerTimes>,
     latency: Vec<Vec<Ms>>,
     destinations: Vec<Destination>,
     targets: Vec<Target>,
     lanes: Vec<Lane>,
     names: TargetNames,
-    /// The changes of the endpoint list: when, and which target.
+    /// The changes of the endpoint list: time and target.
     changes: Vec<(Ms, u32)>,
     forwarders: Vec<Forwarder>,
     events: SlotMap<EventKey, Event>,
@@ -59,28 +58,28 @@
     /// Active faults of the destinations that have any.
     active: FxHashMap<u32, Vec<u16>>,
     flapped_down: Vec<bool>,
-    storm: f64,
+    retry_storm_factor: f64,
     checker: Checker,
     tally: Tally,
     taken: u64,
-    /// Events on their way to a forwarder: clients will submit them again, or they are unread in an
+    /// Events in transit to a forwarder: clients will submit them again, or they are unread in an
     /// inbox.
-    coming: usize,
-    /// The simulation ends then, whatever is still open: all deadlines are long past.
+    submissions_in_transit: usize,
+    /// The simulation ends at this time even if events are still pending: all deadlines are long past.
     ends_at: Ms,
     rng_answers: ChaCha8Rng,
     rng_network: ChaCha8Rng,
     rng_faults: ChaCha8Rng,
     rng_lists: ChaCha8Rng,
-    rng_returns: ChaCha8Rng,
+    rng_resubmissions: ChaCha8Rng,
     tracks_connections: bool,
 }
 
 impl<'a> World<'a> {
-    /// The day of a scenario at its start.
+    /// Creates the world of a scenario, at the start of the day.
     pub fn new(scenario: &'a Scenario) -> Self {
         let seed = scenario.seed;
-        let struck = Affected::new(scenario, seed);
+        let affected = Affected::new(scenario, seed);
         let rules = &scenario.rules;
         let bounds = Bounds {
             drain_grace: rules.grace,
@@ -88,7 +87,7 @@
             effects_remembered_for: 2.0 * scenario.longest_patience() + 120_000.0,
             ..Bounds::default()
         };
-        let (destinations, targets, lanes) = destinations::build(scenario, &struck, seed);
+        let (destinations, targets, lanes) = destinations::build(scenario, &affected, seed);
         let names = (0..targets.len())
             .map(|at| TargetId(at.to_string().into()))
             .collect::<Vec<_>>();
@@ -96,7 +95,7 @@
             .faults
             .iter()
             .any(|fault| fault.kind == FaultKind::HalfOpen);
-        let mut clients = Clients::new(scenario, &struck, seed);
+        let mut clients = Clients::new(scenario, &affected, seed);
         let next_arrival = clients.next();
         let mut world = World {
             scenario,
@@ -120,18 +119,18 @@
             calls: SlotMap::with_key(),
             active: FxHashMap::default(),
             flapped_down: vec![false; scenario.faults.len()],
-            storm: 0.0,
+            retry_storm_factor: 0.0,
             checker: Checker::new(bounds),
-            tally: Tally::new(scenario, &struck),
+            tally: Tally::new(scenario, &affected),
             taken: 0,
-            coming: 0,
+            submissions_in_transit: 0,
             ends_at: scenario.length + 2.0 * scenario.longest_patience() + 60_000.0,
             rng_answers: stream(seed, RandomStream::Answers),
             rng_network: stream(seed, RandomStream::Network),
             rng_faults: stream(seed, RandomStream::Faults),
             rng_lists: stream(seed, RandomStream::Lists),
-            rng_returns: stream(seed, RandomStream::Returns),
-            struck,
+            rng_resubmissions: stream(seed, RandomStream::Returns),
+            affected,
             tracks_connections: half_open,
         };
         world.forwarders = (0..scenario.forwarders.count)
@@ -145,13 +144,14 @@
         world
     }
 
-    /// One step. False when the day is over: no submission is left, and every accepted event is
-    /// completed.
+    /// Simulates one step. False when the day is over: no submission is left, and every accepted event
+    /// is completed.
     pub fn step(&mut self) -> bool {
         let Some((at, step)) = self.queue.pop() else {
             return false;
         };
-        let quiet = self.events.is_empty() && self.coming == 0 && at > self.scenario.length;
+        let quiet =
+            self.events.is_empty() && self.submissions_in_transit == 0 && at > self.scenario.length;
         if quiet || at > self.ends_at {
             self.queue.put(at, step);
             return false;
@@ -196,7 +196,7 @@
         );
         for client_event in left {
             self.tally
-                .unpaid(self.scenario, &client_event, LossCause::DayOver);
+                .record_loss(self.scenario, &client_event, LossCause::DayOver);
         }
         self.tally
             .outcome(self.scenario, self.scenario.seed, &self.checker)
@@ -207,7 +207,7 @@
     }
 
     fn submit_next(&mut self) {
-        let client_event = self.next_arrival.take().expect("foreseen");
+        let client_event = self.next_arrival.take().expect("an arrival is scheduled");
         self.next_arrival = self.clients.next();
         if let Some(next) = &self.next_arrival {
             self.queue.put(next.first_at, Step::Arrival);
@@ -216,7 +216,8 @@
         self.submit(client_event);
     }
 
-    /// Milliseconds of one way between two zones, with jitter; `None` if the message is lost.
+    /// The one-way latency between two zones in milliseconds, with jitter; `None` if the message is
+    /// lost.
     fn travel(&mut self, from: usize, to: usize) -> Option<Ms> {
         let network = &self.scenario.network;
         if network.loss > 0.0 && crate::random::uniform(&mut self.rng_network) < network.loss {
@@ -234,9 +235,9 @@
         let step = self.tally.step(self.now - 0.5 * self.tally.series.width);
         self.tally.series.held[step] = self.events.len() as u64;
         self.tally.series.out[step] = self.calls.len() as u64;
-        let struck = std::mem::take(&mut self.tally.struck);
-        let capacity: f64 = struck.iter().map(|at| self.capacity_of(*at)).sum();
-        self.tally.struck = struck;
+        let affected = std::mem::take(&mut self.tally.affected);
+        let capacity: f64 = affected.iter().map(|at| self.capacity_of(*at)).sum();
+        self.tally.affected = affected;
         self.tally.series.capacity[step] = capacity * self.tally.series.width / 1000.0;
         let next = self.now + self.tally.series.width;
         if next <= self.scenario.length * 1.0001 {
--- a/forwarder/emulator/src/world/process_start.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -1,8 +1,8 @@
-//! A forwarder starts: the configuration of its decider, the endpoint list, and the pending events
+//! Starts a forwarder: the configuration of its decider, the endpoint list, and the pending events
 //! of its log.
 
 use plankhill_decisions::interface::{self as names, DecisionConfig, DestinationKind, TrafficType};
-use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_forwarder_config::scenario::Idempotency;
 use plankhill_invariants::Observation;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -24,7 +24,7 @@
             stalled_until: 0.0,
             died_at: None,
             closing: None,
-            heard: 0,
+            known_changes: 0,
             missed: Vec::new(),
             list_update_scheduled: false,
             list_frozen_until: 0.0,
@@ -40,9 +40,9 @@
         let rules = &self.scenario.rules;
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
             idempotency: match of.effect {
-                Repeats::Retriable => names::Idempotency::Idempotent,
-                Repeats::Binding => names::Idempotency::NonIdempotent,
-                Repeats::Fingerprinted => names::Idempotency::Deduplicated {
+                Idempotency::Idempotent => names::Idempotency::Idempotent,
+                Idempotency::NonIdempotent => names::Idempotency::NonIdempotent,
+                Idempotency::Deduplicated => names::Idempotency::Deduplicated {
                     window: of.window,
                     per_zone: of.one_zone,
                 },
@@ -80,8 +80,8 @@
         deciders::start(of.decisions, config, of.time_out, &self.names, self.now)
     }
 
-    /// A new process: the present endpoint list, then all pending events in the order of
-    /// acceptance.
+    /// Starts a new process. Its decider receives the present endpoint list, then all pending events in
+    /// the order of acceptance.
     pub(super) fn start_process(&mut self, forwarder_id: u32) {
         let incarnation = self.forwarders[forwarder_id as usize].incarnation;
         self.observe(Observation::Resumed {
@@ -91,7 +91,7 @@
         let decider = self.start_decider(forwarder_id, incarnation);
         let it = &mut self.forwarders[forwarder_id as usize];
         (it.decider, it.died_at, it.stalled_until) = (Some(decider), None, 0.0);
-        (it.heard, it.last_iteration) = (self.changes.len(), self.now);
+        (it.known_changes, it.last_iteration) = (self.changes.len(), self.now);
         it.missed.clear();
         let owed = self
             .events
@@ -103,11 +103,11 @@
         for (_, event) in owed {
             let destination = self.events[event].client_event.destination;
             self.introduce_destination(forwarder_id, destination, &mut inputs);
-            let held = &mut self.events[event];
-            let was_out = held.out.take().is_some();
-            let traffic = held.client_event.traffic as usize;
-            let deadline = held.client_event.deadline;
-            let key = held.client_event.key;
+            let pending = &mut self.events[event];
+            let was_out = pending.out.take().is_some();
+            let traffic = pending.client_event.traffic as usize;
+            let deadline = pending.client_event.deadline;
+            let key = pending.client_event.key;
             inputs.push(Input::Accepted {
                 event,
                 destination,
@@ -116,8 +116,8 @@
                 key,
                 again: true,
             });
-            let attempts = held.attempts;
-            let may_have_run = held.may_have_run;
+            let attempts = pending.attempts;
+            let may_have_run = pending.may_have_run;
             if attempts > 0 {
                 inputs.push(Input::AttemptsRestored {
                     event,
@@ -126,7 +126,7 @@
                     was_out,
                 });
             }
-            if held.ended {
+            if pending.ended {
                 inputs.push(Input::CompletionRestored { event });
                 self.queue.put(
                     self.now + self.scenario.forwarders.notice,
--- a/forwarder/emulator/src/world/processes.rs
+++ b/forwarder/emulator/src/world/processes.rs
@@ -1,8 +1,8 @@
-//! The processes of a forwarder: stalls and ends, the event log that outlasts a process, and what
-//! happens to pending events and calls when a process ends.
+//! The processes of a forwarder: stalls and ends, the event log that survives a process, and the
+//! handling of pending events and calls when a process ends.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
-use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_forwarder_config::scenario::Idempotency;
 use plankhill_invariants::{AttemptEnd, Observation};
 use rustc_hash::FxHashSet;
 
@@ -12,8 +12,8 @@
 use crate::outcome::LossCause;
 use crate::random::exponential;
 
-/// A process that shuts down stays for so long at the least: clients still come.
-pub(super) const CLOSING_LEAST: Ms = 1_000.0;
+/// A process that shuts down keeps running for at least this long, because clients still connect.
+pub(super) const MIN_SHUTDOWN_DURATION: Ms = 1_000.0;
 
 impl World<'_> {
     pub(super) fn stall(&mut self, forwarder_id: u32, until: Ms) {
@@ -53,7 +53,7 @@
         self.queue
             .put(ends, Step::IncarnationEnds(forwarder_id, incarnation));
         self.queue.put(
-            self.now + CLOSING_LEAST,
+            self.now + MIN_SHUTDOWN_DURATION,
             Step::WakeUp(forwarder_id, incarnation),
         );
     }
@@ -64,10 +64,10 @@
         }
     }
 
-    /// The process ends at once. With its folder kept, the next one goes on from the event log;
-    /// with the machine lost, clients learn of that, and non-idempotent events that may have run
-    /// are not submitted again.
-    pub(super) fn end_process(&mut self, forwarder_id: u32, gone_for: Ms, folder_kept: bool) {
+    /// Ends the process at once. If its folder is kept, the next process continues from the event log.
+    /// If the machine is lost, clients are notified, and non-idempotent events that may have run are
+    /// not submitted again.
+    pub(super) fn end_process(&mut self, forwarder_id: u32, downtime: Ms, keeps_folder: bool) {
         let forwarder = &mut self.forwarders[forwarder_id as usize];
         if forwarder.decider.take().is_none() {
             return;
@@ -87,18 +87,20 @@
             self.close_idle(forwarder_id, target);
         }
         let mut unwritten = FxHashSet::default();
-        // Unread messages are as if never sent: a client without an answer submits again.
+        // Unread messages count as never sent: a client without a response submits again.
         for incoming in inbox {
             match incoming {
-                Incoming::HandIn(client_event) => {
-                    self.coming -= 1;
+                Incoming::Submission(client_event) => {
+                    self.submissions_in_transit -= 1;
                     self.on_no_forwarder(client_event)
                 }
                 Incoming::Input(Input::CompletionAcknowledged { event }, _) => {
-                    // The client acknowledged; only the process does not know.
-                    if let Some(held) = self.events.remove(event) {
+                    // The client has acknowledged the completion; only the process has not read that.
+                    if let Some(pending) = self.events.remove(event) {
                         self.forwarders[forwarder_id as usize].pending_events -= 1;
-                        self.observe(Observation::CompletionAcknowledged { event: held.number });
+                        self.observe(Observation::CompletionAcknowledged {
+                            event: pending.number,
+                        });
                     }
                 }
                 Incoming::Input(Input::AttemptEnded { event, .. }, Some((_, false))) => {
@@ -108,15 +110,15 @@
             }
         }
         self.drop_calls(forwarder_id, unwritten);
-        if !folder_kept {
-            self.machine_lost(forwarder_id);
+        if !keeps_folder {
+            self.lose_machine(forwarder_id);
         }
         self.queue
-            .put(self.now + gone_for, Step::ProcessStarts(forwarder_id));
+            .put(self.now + downtime, Step::ProcessStarts(forwarder_id));
     }
 
-    /// The forwarder's side of all its calls is over: written ones may still run. The event log
-    /// does not tell which were not written, but the invariants can.
+    /// Ends the forwarder's side of all its calls; those already written may still run. The event log
+    /// does not record which calls were not written, but the invariants can use that.
     pub(super) fn drop_calls(&mut self, forwarder_id: u32, mut unwritten: FxHashSet<EventKey>) {
         let ours = self
             .calls
@@ -128,19 +130,19 @@
             call.abandoned_by_sender = true;
             let target = call.target;
             let written = call.written;
-            // A connection that is being set up is returned when it is up.
-            let coming_up = !written && call.outcome != AttemptOutcome::ConnectFailed;
+            // A connection that is still being set up is returned once it is established.
+            let is_connecting = !written && call.outcome != AttemptOutcome::ConnectFailed;
             if !written {
                 unwritten.extend(call.members.iter().map(|member| member.event));
             }
-            if !call.there && !coming_up {
+            if !call.is_at_target && !is_connecting {
                 self.calls.remove(key);
             }
             if written && self.tracked(self.targets[target as usize].destination) {
                 self.close_connections(target, 1);
             }
         }
-        // Attempts whose outcome was unread count as in flight too.
+        // Attempts whose outcome was not read yet count as in flight too.
         let mut out: Vec<(u64, EventKey)> = Vec::new();
         for (key, event) in &self.events {
             if event.forwarder == forwarder_id && event.out.is_some() {
@@ -167,32 +169,36 @@
         call.map_or(0, |call| self.targets[call.target as usize].zone as usize)
     }
 
-    pub(super) fn machine_lost(&mut self, forwarder_id: u32) {
-        let held = self
+    pub(super) fn lose_machine(&mut self, forwarder_id: u32) {
+        let pending = self
             .events
             .iter()
             .filter(|(_, event)| event.forwarder == forwarder_id);
-        let mut held: Vec<(u64, EventKey)> = held.map(|(key, event)| (event.number, key)).collect();
-        held.sort_unstable();
+        let mut pending: Vec<(u64, EventKey)> =
+            pending.map(|(key, event)| (event.number, key)).collect();
+        pending.sort_unstable();
         self.forwarders[forwarder_id as usize].cold.clear();
         self.forwarders[forwarder_id as usize].pending_events = 0;
-        for (number, key) in held {
-            let event = self.events.remove(key).expect("held");
+        for (number, key) in pending {
+            let event = self.events.remove(key).expect("the event is pending");
             self.observe(Observation::EventLost { event: number });
             if event.ended && event.unacknowledged.is_none() {
-                continue; // its client has heard
+                continue; // its client has been notified
             }
             self.tally.totals.lost += 1;
             let mut client_event = event.client_event;
             client_event.cause = LossCause::NoForwarder;
-            let binds =
-                self.scenario.traffic[client_event.traffic as usize].effect == Repeats::Binding;
-            if event.ended || binds && event.may_have_run.is_some() {
+            let is_non_idempotent = self.scenario.traffic[client_event.traffic as usize].effect
+                == Idempotency::NonIdempotent;
+            if event.ended || is_non_idempotent && event.may_have_run.is_some() {
                 self.tally
-                    .unpaid(self.scenario, &client_event, LossCause::NoForwarder);
+                    .record_loss(self.scenario, &client_event, LossCause::NoForwarder);
                 continue;
             }
-            let again = exponential(&mut self.rng_returns, self.scenario.clients.again_after);
+            let again = exponential(
+                &mut self.rng_resubmissions,
+                self.scenario.clients.again_after,
+            );
             self.resubmit_later(client_event, again);
         }
     }
--- a/forwarder/emulator/src/world/state.rs
+++ b/forwarder/emulator/src/world/state.rs
@@ -1,5 +1,4 @@
-//! The state of events, forwarders, connections and calls: plain data that the files beside this
-//! one change.
+//! The state of events, forwarders, connections and calls: plain data that the other modules change.
 
 use plankhill_decisions::interface::{AttemptOutcome, Ms};
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -19,21 +18,22 @@
     pub may_have_run: Option<(Ms, usize)>,
     pub out: Option<CallKey>,
     pub ended: bool,
-    /// The completion goes by a notification that is not acknowledged yet: whether the event is
-    /// rejected, and the retry-after.
+    /// Set while the notification of the completion is not acknowledged: whether the event is rejected,
+    /// and the retry-after.
     pub unacknowledged: Option<(bool, Option<Ms>)>,
 }
 
 pub(super) enum Incoming {
-    HandIn(ClientEvent),
-    /// With the lane of the call that the input is about, and whether that call was written.
+    Submission(ClientEvent),
+    /// An input of the decider, with the lane of the call that it concerns and whether that call was
+    /// written.
     Input(Input, Option<(u32, bool)>),
 }
 
 pub(super) struct Forwarder {
     pub decider: Option<Box<dyn Decider>>,
     pub zone: usize,
-    /// The number of processes that the forwarder had before.
+    /// The number of earlier processes of the forwarder.
     pub incarnation: u32,
     pub inbox: Vec<Incoming>,
     pub iteration_scheduled: bool,
@@ -41,10 +41,10 @@
     pub next_wake_up: Ms,
     pub stalled_until: Ms,
     pub died_at: Option<Ms>,
-    /// Shutting down: since when, and by when.
+    /// Start and deadline of the shutdown, while shutting down.
     pub closing: Option<(Ms, Ms)>,
-    /// How many of the endpoint list's changes the forwarder knows.
-    pub heard: usize,
+    /// The number of the endpoint list's changes that the forwarder has received.
+    pub known_changes: usize,
     /// Changes that a partial update left out.
     pub missed: Vec<u32>,
     pub list_update_scheduled: bool,
@@ -53,7 +53,7 @@
     pub introduced: FxHashSet<u32>,
     pub pending_events: usize,
     pub idle: FxHashMap<u32, Vec<IdleConnection>>,
-    /// Targets whose lane warms up, for the next process.
+    /// Targets whose lane is warming up, recorded for the next process.
     pub cold: FxHashMap<u32, (Ms, f64)>,
 }
 
@@ -82,18 +82,18 @@
     pub members: Vec<Member>,
     pub began: Ms,
     pub written: bool,
-    /// The connection had been idle.
+    /// The call uses a connection that had been idle.
     pub reused: bool,
-    /// The target had dropped that connection.
+    /// The target had dropped the reused connection.
     pub dropped: bool,
-    /// The forwarder does not wait for the call any more.
+    /// The forwarder no longer waits for the call.
     pub abandoned_by_sender: bool,
     /// The call is in the target's queue or in service.
-    pub there: bool,
+    pub is_at_target: bool,
     pub served: bool,
-    /// The call met an outage.
+    /// The call reached the target during an outage.
     pub in_outage: bool,
-    /// The outcome that the answer will have; `wait` is the retry-after with it.
+    /// The outcome that the response will report; `wait` is its retry-after.
     pub outcome: AttemptOutcome,
     pub wait: Ms,
     /// The target never answers the call.
--- a/forwarder/emulator/src/world/step.rs
+++ b/forwarder/emulator/src/world/step.rs
@@ -13,7 +13,7 @@
     Arrival,
     Submit(Box<ClientEvent>),
     Iteration(u32),
-    /// A wake-up that the forwarder's decider asked for, in this incarnation.
+    /// A wake-up that the forwarder's decider requested in this incarnation.
     WakeUp(u32, u32),
     Connected(CallKey),
     /// The call's last byte reaches its target.
@@ -32,7 +32,7 @@
     /// A target of a fault that replaces targets one by one.
     ReplaceOne(u16, u32),
     RemoveDraining(u16),
-    StrikeForwarder(u16, u32),
+    ApplyForwarderFault(u16, u32),
     StallEnds(u32, u32),
     IncarnationEnds(u32, u32),
     ProcessStarts(u32),
@@ -46,7 +46,7 @@
         match step {
             Step::Arrival => self.submit_next(),
             Step::Submit(client_event) => {
-                self.coming -= 1;
+                self.submissions_in_transit -= 1;
                 self.submit(*client_event)
             }
             Step::Iteration(at) => self.run_iteration(at),
@@ -67,8 +67,8 @@
             Step::FaultToggles(fault) => self.toggle_fault(fault),
             Step::FaultEnds(fault) => self.end_fault(fault),
             Step::ReplaceOne(fault, place) => self.replace_one(fault, place),
-            Step::RemoveDraining(fault) => self.gone_for_good(fault),
-            Step::StrikeForwarder(fault, at) => self.strike_forwarder(fault, at),
+            Step::RemoveDraining(fault) => self.remove_drained_targets(fault),
+            Step::ApplyForwarderFault(fault, at) => self.apply_forwarder_fault(fault, at),
             Step::StallEnds(at, incarnation) => self.end_stall(at, incarnation),
             Step::IncarnationEnds(at, incarnation) => self.end_incarnation(at, incarnation),
             Step::ProcessStarts(at) => self.start_process(at),
--- a/forwarder/emulator/src/world/submissions.rs
+++ b/forwarder/emulator/src/world/submissions.rs
@@ -1,4 +1,4 @@
-//! Clients: submitting events, learning of completions, and submitting again.
+//! Clients: submit events, receive completions, and submit rejected events again.
 
 use plankhill_decisions::interface::{EndpointState, Ms};
 use plankhill_invariants::{Completion, Observation};
@@ -11,19 +11,19 @@
 use crate::random::{between, exponential, uniform};
 
 /// An event with less time to its deadline is rejected at submission.
-const LEAST_PATIENCE: Ms = 100.0;
+const MIN_TIME_TO_DEADLINE: Ms = 100.0;
 /// The mean time before a client submits again in a retry storm.
-const STORM_PAUSE: Ms = 50.0;
+const RETRY_STORM_PAUSE: Ms = 50.0;
 
 impl World<'_> {
-    /// The layer before the forwarders forwards an event: events of one key to one forwarder while
-    /// that one is up, as far as the layer knows.
+    /// Routes an event through the layer before the forwarders: events of one key go to one forwarder
+    /// as long as the layer considers it up.
     pub(super) fn submit(&mut self, client_event: ClientEvent) {
         self.tally.totals.handed_in += 1;
         let count = self.forwarders.len();
         let first = match client_event.key {
             Some(key) => (key.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % count,
-            None => (uniform(&mut self.rng_returns) * count as f64) as usize,
+            None => (uniform(&mut self.rng_resubmissions) * count as f64) as usize,
         };
         let lag = self.scenario.forwarders.front_lag;
         let believed = |at: &usize| {
@@ -35,10 +35,10 @@
         let Some(chosen) = chosen.filter(|at| self.forwarders[*at].decider.is_some()) else {
             return self.on_no_forwarder(client_event);
         };
-        self.coming += 1;
+        self.submissions_in_transit += 1;
         self.forwarders[chosen]
             .inbox
-            .push(Incoming::HandIn(client_event));
+            .push(Incoming::Submission(client_event));
         self.schedule_iteration(chosen as u32);
     }
 
@@ -53,14 +53,14 @@
             return self.on_no_forwarder(client_event);
         }
         self.introduce_destination(forwarder_id, client_event.destination, inputs);
-        let heard = self.forwarders[forwarder_id as usize].heard;
+        let known_changes = self.forwarders[forwarder_id as usize].known_changes;
         let targets = &self.destinations[client_event.destination as usize].targets;
-        let named = targets
-            .iter()
-            .any(|target| self.targets[*target as usize].as_of(heard) != EndpointState::Removed);
+        let named = targets.iter().any(|target| {
+            self.targets[*target as usize].as_of(known_changes) != EndpointState::Removed
+        });
         let full =
             self.forwarders[forwarder_id as usize].pending_events >= self.scenario.forwarders.room;
-        if full || !named || client_event.deadline - self.now < LEAST_PATIENCE {
+        if full || !named || client_event.deadline - self.now < MIN_TIME_TO_DEADLINE {
             client_event.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
             return self.on_rejected(client_event, self.scenario.rules.longest_advice);
@@ -109,7 +109,10 @@
 
     /// No forwarder took the event: the client submits again while there is time.
     pub(super) fn on_no_forwarder(&mut self, mut client_event: ClientEvent) {
-        let again = exponential(&mut self.rng_returns, self.scenario.clients.again_after);
+        let again = exponential(
+            &mut self.rng_resubmissions,
+            self.scenario.clients.again_after,
+        );
         client_event.cause = LossCause::NoForwarder;
         self.resubmit_later(client_event, again);
     }
@@ -118,30 +121,30 @@
         let at = self.now + pause;
         if at >= client_event.deadline {
             let cause = client_event.cause;
-            return self.tally.unpaid(self.scenario, &client_event, cause);
+            return self.tally.record_loss(self.scenario, &client_event, cause);
         }
-        self.coming += 1;
+        self.submissions_in_transit += 1;
         self.queue.put(at, Step::Submit(Box::new(client_event)));
     }
 
-    /// The client learns of a rejection.
+    /// Handles a rejection at the client.
     pub(super) fn on_rejected(&mut self, mut client_event: ClientEvent, retry_after: Option<Ms>) {
         let of = &self.scenario.clients;
-        let storms = self.storm > 0.0;
-        let most = if storms {
-            (of.returns as f64 * self.storm).ceil() as u32
+        let in_storm = self.retry_storm_factor > 0.0;
+        let most = if in_storm {
+            (of.returns as f64 * self.retry_storm_factor).ceil() as u32
         } else {
             of.returns
         };
         if client_event.returns >= most {
             let cause = client_event.cause;
-            return self.tally.unpaid(self.scenario, &client_event, cause);
+            return self.tally.record_loss(self.scenario, &client_event, cause);
         }
         client_event.returns += 1;
         let pause = match retry_after {
-            _ if storms => exponential(&mut self.rng_returns, STORM_PAUSE),
-            Some(advice) => advice * between(&mut self.rng_returns, 1.0, 1.25),
-            None => exponential(&mut self.rng_returns, of.pause),
+            _ if in_storm => exponential(&mut self.rng_resubmissions, RETRY_STORM_PAUSE),
+            Some(advice) => advice * between(&mut self.rng_resubmissions, 1.0, 1.25),
+            None => exponential(&mut self.rng_resubmissions, of.pause),
         };
         self.resubmit_later(client_event, pause);
     }
@@ -156,12 +159,12 @@
             self.on_rejected(client_event, retry_after);
         } else {
             self.tally
-                .unpaid(self.scenario, &client_event, LossCause::MayHaveRun);
+                .record_loss(self.scenario, &client_event, LossCause::MayHaveRun);
         }
     }
 
     pub(super) fn on_delivered(&mut self, forwarder_id: u32, key: EventKey) {
-        let event = self.events.remove(key).expect("held");
+        let event = self.events.remove(key).expect("the event is pending");
         self.forwarders[forwarder_id as usize].pending_events -= 1;
         self.observe(Observation::Completed {
             forwarder: forwarder_id,
@@ -215,11 +218,11 @@
         self.notify_client(event.client_event, dismissed, retry_after);
     }
 
-    /// The notification of a completion is acknowledged: the client has it first, then the
-    /// forwarder the answer.
+    /// Delivers the notification of a completion: first the client handles it, then the forwarder
+    /// receives the acknowledgement.
     pub(super) fn on_acknowledged(&mut self, forwarder_id: u32, incarnation: u32, key: EventKey) {
         if self.forwarders[forwarder_id as usize].incarnation != incarnation {
-            return; // the next incarnation tells it again
+            return; // the next incarnation sends the notification again
         }
         let Some(event) = self.events.get_mut(key) else {
             return;
--- a/forwarder/emulator/src/world/warm_up.rs
+++ b/forwarder/emulator/src/world/warm_up.rs
@@ -1,4 +1,4 @@
-//! Lanes that come back from an outage: how far a lane has warmed up, its load, and when it is
+//! Lanes that recover from an outage: how far a lane has warmed up, its load, and when it is
 //! overloaded.
 
 use std::collections::VecDeque;
@@ -11,18 +11,18 @@
 use super::{Step, World};
 
 impl World<'_> {
-    /// The share of its capacity that a lane has, by the time since its outage.
+    /// The share of its capacity that a lane has regained, by the time since its outage.
     pub(super) fn warmth(&self, lane: u32) -> f64 {
         let rules = &self.scenario.rules;
         let Some(cold) = &self.lanes[lane as usize].cold else {
             return 1.0;
         };
-        let back = ((self.now - cold.since) / rules.warm_after).clamp(0.0, 1.0);
-        rules.cold_share + (1.0 - rules.cold_share) * back
+        let progress = ((self.now - cold.since) / rules.warm_after).clamp(0.0, 1.0);
+        rules.cold_share + (1.0 - rules.cold_share) * progress
     }
 
-    /// A call or health check of this weight came to a lane. A lane that is warming up may be
-    /// overloaded by it.
+    /// Adds the load of a call or health check to a lane. A lane that is warming up may be overloaded
+    /// by it.
     pub(super) fn add_load(&mut self, lane: u32, forwarder: u32, weight: f64) {
         let rules = &self.scenario.rules;
         let lane_state = &mut self.lanes[lane as usize];
@@ -46,9 +46,13 @@
         }
         let of = self.lanes[lane as usize].destination;
         let limited = self.group_of(of).limit.bears_cold;
-        let bears =
+        let max_load =
             rules.tip_multiple * self.lane_capacity(lane, limited) * rules.tip_span / 1000.0;
-        let share = if bears > 0.0 { sum / bears } else { f64::MAX };
+        let share = if max_load > 0.0 {
+            sum / max_load
+        } else {
+            f64::MAX
+        };
         self.tally.totals.cold_load = self.tally.totals.cold_load.max(share);
         if share > 1.0 {
             self.overload(lane);
@@ -58,7 +62,10 @@
     pub(super) fn overload(&mut self, lane: u32) {
         self.tally.totals.tipped += 1;
         let lane_state = &mut self.lanes[lane as usize];
-        let cold = lane_state.cold.take().expect("only a cold lane tips");
+        let cold = lane_state
+            .cold
+            .take()
+            .expect("only a lane that is warming up can be overloaded");
         lane_state.overloaded_until = self.now + self.scenario.rules.tipped;
         lane_state.outage = true;
         let until = lane_state.overloaded_until;
@@ -73,7 +80,7 @@
         self.observe(Observation::Overloaded { lane, load });
         self.observe(Observation::OutageBegan { lane });
         self.queue.put(until, Step::OverloadEnds(lane));
-        self.break_calls(of);
+        self.reset_calls(of);
     }
 
     pub(super) fn end_overload(&mut self, lane: u32) {
@@ -81,7 +88,7 @@
         self.update_outages(of);
     }
 
-    /// Something changed at a destination: its lanes' outages begin and end with that.
+    /// Begins and ends the outages of a destination's lanes after a change there.
     pub(super) fn update_outages(&mut self, destination: u32) {
         let targets = &self.destinations[destination as usize].targets;
         let listed = targets
--- a/forwarder/emulator/tests/days.rs
+++ b/forwarder/emulator/tests/days.rs
@@ -1,4 +1,4 @@
-//! What holds on any day: one seed gives one result, every event is completed once, and the hard cases.
+//! Properties of every day: the seed determines the result, and every event is completed once; and edge cases.
 
 mod helpers;
 
@@ -30,7 +30,7 @@
     "forwarder_replaced",
 ];
 
-fn fault(kind: &str, start: u32, length: u32, whom: &str) -> String {
+fn fault(kind: &str, start: u32, length: u32, scope: &str) -> String {
     let strength = match kind {
         "slow" => 5.0,
         "mass_wake" => 20.0,
@@ -39,14 +39,14 @@
     };
     format!(
         "[[troubles]]\nkind = \"{kind}\"\nstart = {start}.0\nlength = {length}.0\nstrength = {strength}\n\
-         every = 1500.0\napart = 700.0\nwhom = {whom}\n"
+         every = 1500.0\napart = 700.0\nwhom = {scope}\n"
     )
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 40, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever happens, each event is completed once, and all value is delivered or has a cause of its loss.
+    /// Under any faults, each event is completed once, and all value is either delivered or lost with a cause.
     #[test]
     fn every_event_is_completed_once(
         seed in 0u64..1_000_000,
@@ -55,8 +55,8 @@
         decisions in 0..6usize,
         pings in any::<bool>(),
     ) {
-        let whoms = ["{}", "{ at_random = 0.5 }", "{ first = 1, targets = 0.5 }"];
-        let faults: String = kinds.iter().map(|&(kind, start, length, whom)| fault(KINDS[kind], start, length, whoms[whom])).collect();
+        let scopes = ["{}", "{ at_random = 0.5 }", "{ first = 1, targets = 0.5 }"];
+        let faults: String = kinds.iter().map(|&(kind, start, length, scope)| fault(KINDS[kind], start, length, scopes[scope])).collect();
         let decisions = ["module", "one_try", "backoff", "breaker", "budget", "aimd"][decisions];
         let day = scenario(&[
             ("seed", &seed.to_string()),
@@ -70,11 +70,11 @@
         prop_assert!((outcome.totals.asked - outcome.totals.paid - lost).abs() < 1e-6 * outcome.totals.asked.max(1.0),
             "asked {} paid {} lost {lost}", outcome.totals.asked, outcome.totals.paid);
         prop_assert!(outcome.rules.iter().find(|rule| rule.rule.starts_with("one end")).unwrap().broken == 0, "{:?}", outcome.breaches);
-        // The module keeps all but what no forwarder can know of (see docs/emulator.md).
+        // The module violates only invariants that depend on what no forwarder can know (see docs/emulator.md).
         if decisions == "module" {
-            let introduced = |rule: &str| outcome.rules.iter().find(|known| known.rule == rule).unwrap().broken;
+            let violations = |rule: &str| outcome.rules.iter().find(|known| known.rule == rule).unwrap().broken;
             for rule in ["drains kept", "key order", "waits heeded"] {
-                prop_assert!(introduced(rule) == 0, "{:?}", outcome.breaches);
+                prop_assert!(violations(rule) == 0, "{:?}", outcome.breaches);
             }
         }
     }
@@ -90,7 +90,7 @@
 }
 
 #[rstest]
-fn all_deciders_meet_the_same_clients() {
+fn all_deciders_get_the_same_events() {
     let module = play(&scenario(&[], ""));
     let other = play(&scenario(
         &[
@@ -142,11 +142,11 @@
     assert!(outcome.payoff > 0.5);
 }
 
-/// The event log: no event is lost with a process, some are lost with a machine.
+/// With the event log, no event is lost with a process; some are lost with a machine.
 #[rstest]
 #[case("forwarder_killed", false)]
 #[case("forwarder_lost", true)]
-fn accepted_events_outlast_a_process(#[case] kind: &str, #[case] lost: bool) {
+fn accepted_events_survive_a_process(#[case] kind: &str, #[case] lost: bool) {
     let set = [
         ("clients.rate", "100.0"),
         ("destinations.0.answer.mean", "150.0"),
--- a/forwarder/emulator/tests/decision_digests.rs
+++ b/forwarder/emulator/tests/decision_digests.rs
@@ -1,6 +1,6 @@
-//! The outcome of a shrunk day of every shipped scenario, for two seeds each, against the digests
-//! that an earlier version gave. The whole days are played by the example `decision_digests`, in
-//! release mode.
+//! Compares the outcome of a shortened day of every shipped scenario, for two seeds each, with the
+//! digests of an earlier version. The example `decision_digests` simulates the full days, in release
+//! mode.
 
 #[path = "helpers/digest.rs"]
 mod digest;
@@ -9,7 +9,7 @@
 
 const DIGESTS: &str = include_str!("decision_digests/short.txt");
 
-/// Of ten minutes: one, with all that happens in them in proportion.
+/// The length of a shortened day, relative to the full one; the faults are scaled alike.
 const PART: f64 = 0.1;
 
 fn pinned(decisions: &str) -> Vec<&'static str> {
--- a/forwarder/emulator/tests/helpers/digest.rs
+++ b/forwarder/emulator/tests/helpers/digest.rs
@@ -1,4 +1,4 @@
-//! Digests of whole days of the shipped scenarios, in the form that `plankhill emulate --json`
+//! Digests of the outcomes of days of the shipped scenarios, in the form that `plankhill emulate --json`
 //! prints: all floating point numbers in full precision, no unordered map.
 
 use std::path::{Path, PathBuf};
@@ -25,13 +25,13 @@
     "three-hundred",
 ];
 
-/// Who decides at the forwarders, beside the module.
-#[allow(dead_code)] // the example plays the module alone
+/// The deciders other than the module.
+#[allow(dead_code)] // the example uses the module only
 pub const BASELINES: [&str; 5] = ["one_try", "backoff", "breaker", "budget", "aimd"];
 
 pub const SEEDS: [u64; 2] = [1, 2];
 
-/// The folder of scenarios stands above the package.
+/// The folder `scenarios` in one of the package's parent folders.
 fn folder() -> PathBuf {
     let package = Path::new(env!("CARGO_MANIFEST_DIR"));
     let folders = package.ancestors().map(|folder| folder.join("scenarios"));
@@ -49,35 +49,34 @@
         })
 }
 
-/// Shrinks the day to this part of its length, and the time until each trouble and its length with
-/// it.
-fn shrink(text: &mut Text, part: f64) {
+/// Shortens the day to this part of its length, and scales the start and length of each fault alike.
+fn shorten(text: &mut Text, part: f64) {
     let number = |value: &toml::Value| value.as_float().expect("times have a decimal point");
     let length = number(&text.table()["length"]);
     text.set_value("length", (part * length).into())
         .expect("a scenario has a length");
-    let troubles = text
+    let faults = text
         .table()
         .get("troubles")
         .and_then(|list| list.as_array())
         .cloned()
         .unwrap_or_default();
-    for (at, trouble) in troubles.iter().enumerate() {
+    for (at, fault) in faults.iter().enumerate() {
         for key in ["start", "length"] {
-            let time = part * number(&trouble[key]);
+            let time = part * number(&fault[key]);
             text.set_value(&format!("troubles.{at}.{key}"), time.into())
-                .expect("a trouble has times");
+                .expect("a fault has times");
         }
     }
 }
 
-/// One line: scenario, seed, who decides, payoff and the digest of the whole outcome, of this part
-/// of the day.
+/// Simulates a day of this part of its length. Returns one line: scenario, seed, decider, payoff and
+/// the digest of the complete outcome.
 pub fn line(name: &str, seed: u64, part: f64) -> String {
     line_with(name, seed, part, "module")
 }
 
-/// As `line`, with the decision module or a baseline at each forwarder.
+/// Like `line`, with the decision module or a baseline at each forwarder.
 pub fn line_with(name: &str, seed: u64, part: f64, decisions: &str) -> String {
     let path = folder().join(format!("{name}.toml"));
     let text = std::fs::read_to_string(&path).expect("the scenario is there");
@@ -85,9 +84,9 @@
     text.set("seed", &seed.to_string())
         .expect("a scenario has a seed");
     text.set("forwarders.decisions", decisions)
-        .expect("a scenario says who decides");
+        .expect("the key of the decider can be set");
     if part < 1.0 {
-        shrink(&mut text, part);
+        shorten(&mut text, part);
     }
     let scenario = Scenario::read(&text).expect("the scenario is right");
     let outcome = play(&scenario);
--- a/forwarder/emulator/tests/helpers/mod.rs
+++ b/forwarder/emulator/tests/helpers/mod.rs
@@ -1,5 +1,5 @@
-//! Small scenarios for the tests, made from a text and keys set over it.
-#![allow(dead_code)] // each test file takes its own of them
+//! Small scenarios for the tests, made from a text and overridden keys.
+#![allow(dead_code)] // each test file uses some of them
 
 use plankhill_forwarder_config::scenario::Scenario;
 use plankhill_forwarder_config::tables::Text;
@@ -52,8 +52,8 @@
     Scenario::read(&text).expect("the test's scenario is right")
 }
 
-/// One destination with one target, one forwarder with slots without end, nothing between them: a
-/// queue.
+/// A single queue: one destination with one target, and one forwarder with practically unlimited
+/// slots, without latency between them.
 pub fn station(set: &[(&str, &str)]) -> Scenario {
     let text = r#"
 about = "one queue"
--- a/forwarder/emulator/tests/queues.rs
+++ b/forwarder/emulator/tests/queues.rs
@@ -1,4 +1,4 @@
-//! Against theory: what a station's waiting times must be, within their confidence intervals over
+//! Compares the waiting times of a single queue with queueing theory, within confidence intervals over
 //! seeds.
 
 mod helpers;
@@ -25,7 +25,7 @@
     (mean, 4.78 * (variance / means.len() as f64).sqrt())
 }
 
-/// The chance to wait at c servers, each busy for `load` of its time (Erlang C).
+/// The probability of waiting at `servers` servers, each busy for `load` of its time (Erlang C).
 fn erlang_c(servers: u32, load: f64) -> f64 {
     let offered = load * servers as f64;
     let mut term = 1.0;
@@ -56,6 +56,6 @@
     );
     assert!(
         within < 0.15 * theory,
-        "the interval of ± {within:.2} ms says nothing"
+        "the interval of ± {within:.2} ms is too wide to be conclusive"
     );
 }
