--- a/forwarder/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -1,4 +1,4 @@
-//! Figures over days: means with bootstrap intervals, and differences of variants paired by seed.
+//! Statistics over days: means with bootstrap intervals, and differences between variants, paired by seed.
 
 use plankhill_emulator::random::{stream, uniform, RandomStream};
 use plankhill_forwarder_config::experiment::Measure;
@@ -15,20 +15,21 @@
     pub days: usize,
 }
 
-/// How often days are drawn anew for an interval: its edges then move by less than a line's width.
-const DRAWS: usize = 2000;
+/// Bootstrap samples per interval. With this many, another set of samples moves the interval's edges by less than
+/// the width of a plotted line.
+const RESAMPLES: usize = 2000;
 
-/// The mean and its interval by the bootstrap: days are drawn with return, always the same way.
+/// The mean and its bootstrap interval: days are drawn with replacement, from a fixed seed.
 pub fn estimate(values: &[f64]) -> Option<Estimate> {
     if values.is_empty() {
         return None;
     }
     let mean = values.iter().sum::<f64>() / values.len() as f64;
-    let mut chance = stream(values.len() as u64, RandomStream::Baselines);
-    let mut means: Vec<f64> = (0..DRAWS)
+    let mut rng = stream(values.len() as u64, RandomStream::Baselines);
+    let mut means: Vec<f64> = (0..RESAMPLES)
         .map(|_| {
             let drawn = (0..values.len())
-                .map(|_| values[(uniform(&mut chance) * values.len() as f64) as usize]);
+                .map(|_| values[(uniform(&mut rng) * values.len() as f64) as usize]);
             drawn.sum::<f64>() / values.len() as f64
         })
         .collect();
@@ -46,13 +47,13 @@
 pub struct Cell<'a> {
     pub variant: &'a str,
     pub point: &'a [(String, String)],
-    /// In the order of their seeds.
+    /// The days, in the order of their seeds.
     pub days: Vec<&'a Record>,
 }
 
 impl<'a> Cell<'a> {
     /// The cell of another variant at the same point.
-    pub fn beside<'c>(&self, cells: &'c [Cell<'a>], variant: &str) -> Option<&'c Cell<'a>> {
+    pub fn at_same_point<'c>(&self, cells: &'c [Cell<'a>], variant: &str) -> Option<&'c Cell<'a>> {
         cells
             .iter()
             .find(|other| other.variant == variant && other.point == self.point)
@@ -103,9 +104,14 @@
     }
 }
 
-/// What a variant has over the first one, seed by seed; days without a partner are left out.
-pub fn paired(cell: &Cell, reference: &Cell, value: impl Fn(&Record) -> f64) -> Vec<f64> {
-    let partner = |day: &&Record| {
+/// The differences between a variant and the reference, seed by seed. Days whose seed the reference lacks are left
+/// out.
+pub fn paired_differences(
+    cell: &Cell,
+    reference: &Cell,
+    value: impl Fn(&Record) -> f64,
+) -> Vec<f64> {
+    let counterpart = |day: &&Record| {
         reference
             .days
             .iter()
@@ -114,7 +120,7 @@
     };
     cell.days
         .iter()
-        .filter_map(|day| Some(value(day) - value(partner(day)?)))
+        .filter_map(|day| Some(value(day) - value(counterpart(day)?)))
         .collect()
 }
 
@@ -130,7 +136,7 @@
         .map_err(|e| Stopped::Outside(e.to_string()))
 }
 
-/// A line for each day.
+/// A row for each day.
 pub fn days_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, Stopped> {
     let keys = plan.experiment.sweep.iter().map(|sweep| sweep.key.clone());
     let mut head: Vec<String> = vec!["variant".into()];
@@ -211,7 +217,7 @@
     csv(rows)
 }
 
-/// A line for each variant at each point: its payoff, and what it has over the first variant.
+/// A row for each variant at each point: its payoff, and its difference from the first variant.
 pub fn compare_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, Stopped> {
     let mut head: Vec<String> = vec!["variant".into()];
     head.extend(plan.experiment.sweep.iter().map(|sweep| sweep.key.clone()));
@@ -235,8 +241,9 @@
         row.push(own.days.to_string());
         row.extend([own.mean, own.low, own.high].map(|value| format!("{value:.6}")));
         let first = &plan.experiment.variants[0].name;
-        let reference = cell.beside(&cells, first);
-        let over = reference.and_then(|reference| estimate(&paired(cell, reference, payoff)));
+        let reference = cell.at_same_point(&cells, first);
+        let over =
+            reference.and_then(|reference| estimate(&paired_differences(cell, reference, payoff)));
         let over = over.map_or([String::new(), String::new(), String::new()], |over| {
             [over.mean, over.low, over.high].map(|value| format!("{value:.6}"))
         });
--- a/forwarder/experiments/src/days.rs
+++ b/forwarder/experiments/src/days.rs
@@ -1,4 +1,4 @@
-//! The days of an experiment: which there are, in which order, and what is kept of each.
+//! The days of an experiment: their order, and the record of each day.
 
 use plankhill_emulator::outcome::Outcome;
 use plankhill_forwarder_config::experiment::Experiment;
@@ -7,48 +7,49 @@
 use serde::{Deserialize, Serialize};
 use toml::Value;
 
-/// One day to be played.
+/// One day to simulate.
 #[derive(Clone, Debug)]
 pub struct Day {
     pub number: usize,
     pub variant: usize,
-    /// The place in each sweep.
+    /// The position in each sweep's list of values.
     pub point: Vec<usize>,
     pub seed: u64,
     scenario: Scenario,
 }
 
-/// A day that was played, with all that is needed to play it again beside the folder's `scenario.toml`.
+/// The outcome of a simulated day, with everything needed to simulate it again in addition to the folder's
+/// `scenario.toml`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Record {
     pub number: usize,
     pub variant: String,
     /// The sweeps' keys and values.
     pub point: Vec<(String, String)>,
-    /// All keys that were set over the scenario, in their order.
+    /// All keys of the scenario that were overridden, in the order in which they were set.
     pub set: Vec<(String, String)>,
     pub seed: u64,
     pub version: String,
     pub commit: String,
-    /// The upper bound of the payoff, where it was asked for.
+    /// The upper bound of the payoff, if the experiment requests it.
     pub bound: Option<f64>,
     pub outcome: Outcome,
 }
 
-/// An experiment with its scenario, laid out in days.
+/// An experiment with its scenario and the days to simulate.
 pub struct Plan {
     pub experiment: Experiment,
     pub experiment_text: String,
     pub scenario_text: String,
     pub days: Vec<Day>,
-    /// By day: what was set over the scenario.
-    sets: Vec<Vec<(String, String)>>,
+    /// The overridden keys of each day, by the day's number.
+    overrides: Vec<Vec<(String, String)>>,
     pub commit: String,
 }
 
 impl Plan {
-    /// `scenario` is the text that the experiment names. Every day's scenario is checked here, before the
-    /// first is played.
+    /// `scenario` is the scenario that the experiment names. The scenarios of all days are checked here, before the
+    /// first day is simulated.
     pub fn new(
         experiment: Experiment,
         experiment_text: String,
@@ -56,14 +57,14 @@
         scenario_text: String,
         commit: String,
     ) -> Result<Plan, String> {
-        let (mut days, mut sets) = (Vec::new(), Vec::new());
+        let (mut days, mut overrides) = (Vec::new(), Vec::new());
         let points = points(&experiment);
         for point in &points {
             for (at, variant) in experiment.variants.iter().enumerate() {
                 let mut text = scenario.clone();
                 let mut set = Vec::new();
                 let mut put = |key: &str, value: &Value| {
-                    set.push((key.to_owned(), plain(value)));
+                    set.push((key.to_owned(), to_text(value)));
                     text.set_value(key, value.clone())
                 };
                 for (key, value) in experiment.set.iter().chain(&variant.set) {
@@ -85,7 +86,7 @@
                         seed,
                         scenario,
                     });
-                    sets.push(set.clone());
+                    overrides.push(set.clone());
                 }
             }
         }
@@ -94,22 +95,22 @@
             experiment_text,
             scenario_text,
             days,
-            sets,
+            overrides,
             commit,
         })
     }
 
-    /// What each sweep is at for a day.
+    /// The key and value of each sweep for a day.
     pub fn point_of(&self, day: &Day) -> Vec<(String, String)> {
         let sweeps = self.experiment.sweep.iter().zip(&day.point);
         sweeps
-            .map(|(sweep, place)| (sweep.key.clone(), plain(&sweep.values[*place])))
+            .map(|(sweep, place)| (sweep.key.clone(), to_text(&sweep.values[*place])))
             .collect()
     }
 
     pub fn play(&self, day: &Day) -> Record {
         let mut outcome = plankhill_emulator::play(&day.scenario);
-        // Series and heat are kept of one seed for each variant and point: figures of the rest are enough.
+        // Series and heat map are kept for one seed of each variant and point only; the totals suffice for the others.
         if day.seed != self.experiment.first_seed {
             outcome.heat.clear();
             outcome.series = Default::default();
@@ -118,7 +119,7 @@
             number: day.number,
             variant: self.experiment.variants[day.variant].name.clone(),
             point: self.point_of(day),
-            set: self.sets[day.number].clone(),
+            set: self.overrides[day.number].clone(),
             seed: day.seed,
             version: env!("CARGO_PKG_VERSION").to_owned(),
             commit: self.commit.clone(),
@@ -131,7 +132,7 @@
     }
 }
 
-/// All combinations of the sweeps' places, the last sweep turning fastest.
+/// All combinations of positions in the sweeps; the last sweep varies fastest.
 fn points(experiment: &Experiment) -> Vec<Vec<usize>> {
     let mut points = vec![Vec::new()];
     for sweep in &experiment.sweep {
@@ -148,7 +149,7 @@
     points
 }
 
-fn plain(value: &Value) -> String {
+fn to_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
         other => other.to_string(),
--- a/forwarder/experiments/src/figures.rs
+++ b/forwarder/experiments/src/figures.rs
@@ -1,4 +1,4 @@
-//! Figures as SVG, each with axes, units and its lines named in it.
+//! Charts as SVG, each with axes, units and a legend.
 
 use std::error::Error;
 
@@ -7,7 +7,7 @@
 
 use crate::compare::Estimate;
 
-type Drawn = Result<String, Box<dyn Error>>;
+type SvgResult = Result<String, Box<dyn Error>>;
 
 /// A line of a chart.
 pub struct Line {
@@ -16,7 +16,7 @@
     pub dashed: bool,
 }
 
-/// Told apart also by those who see no red or green.
+/// Colours that are distinguishable with red-green colour blindness too.
 const COLOURS: [RGBColor; 7] = [
     RGBColor(0, 114, 178),
     RGBColor(213, 94, 0),
@@ -34,7 +34,7 @@
 const SIZE: (u32, u32) = (860, 360);
 const FONT: &str = "sans-serif";
 
-/// The range of some values with a little air.
+/// The range of some values with padding.
 fn range(values: impl Iterator<Item = f64>) -> (f64, f64) {
     let (low, high) = values
         .filter(|v| v.is_finite())
@@ -42,16 +42,16 @@
     if low > high {
         return (0.0, 1.0);
     }
-    let air = if high > low {
+    let padding = if high > low {
         0.05 * (high - low)
     } else {
         0.05 * high.abs().max(0.1)
     };
-    (low - air, high + air)
+    (low - padding, high + padding)
 }
 
-/// Draws the box in which each line has its name.
-fn name_lines<'a, DB, CT>(
+/// Draws the legend.
+fn draw_legend<'a, DB, CT>(
     chart: &mut ChartContext<'a, DB, CT>,
     at: SeriesLabelPosition,
 ) -> Result<(), Box<dyn Error>>
@@ -70,13 +70,13 @@
     Ok(())
 }
 
-/// Lines over time in seconds, with the troubles shaded.
+/// Lines over time in seconds, with the faults shaded.
 pub fn over_time(
     lines: &[Line],
     shades: &[FaultInterval],
-    y_words: &str,
+    y_label: &str,
     from_zero: bool,
-) -> Drawn {
+) -> SvgResult {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -101,7 +101,7 @@
         chart
             .configure_mesh()
             .x_desc("time of the day (s)")
-            .y_desc(y_words)
+            .y_desc(y_label)
             .label_style((FONT, 13))
             .light_line_style(WHITE)
             .draw()?;
@@ -124,26 +124,26 @@
                 chart.draw_series(series)?.label(&line.name).legend(legend);
             }
         }
-        name_lines(&mut chart, SeriesLabelPosition::LowerLeft)?;
+        draw_legend(&mut chart, SeriesLabelPosition::LowerLeft)?;
         root.present()?;
     }
     Ok(svg)
 }
 
-/// A cell of a sweep: where it stands on the axis, and its estimate.
-pub struct Swept {
+/// A line of a sweep: the position of each point on the axis, and its estimate.
+pub struct SweepSeries {
     pub name: String,
     pub points: Vec<(f64, Estimate)>,
 }
 
-/// Estimates with their intervals over a sweep. Names stand at the axis' places where values are no numbers.
+/// Estimates with their intervals over a sweep. `names` are the labels of the axis if the values are not numbers.
 pub fn over_sweep(
-    lines: &[Swept],
-    x_words: &str,
-    y_words: &str,
+    lines: &[SweepSeries],
+    x_label: &str,
+    y_label: &str,
     names: &[String],
     log: bool,
-) -> Drawn {
+) -> SvgResult {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -155,17 +155,17 @@
         let (least, most) = xs.fold((f64::MAX, f64::MIN), |(l, h), x| (l.min(x), h.max(x)));
         let all = lines.iter().flat_map(|line| &line.points);
         let (low, high) = range(all.flat_map(|(_, e)| [e.low, e.high]));
-        let air = if most > least {
+        let padding = if most > least {
             0.04 * (most - least)
         } else {
             0.5
         };
-        // A logarithmic axis is drawn by hand: positions are logarithms, labels are values.
+        // A logarithmic axis is emulated: positions are logarithms, labels are values.
         let place = |x: f64| if log { x.log10() } else { x };
         let (from, to) = if log {
             (place(least) - 0.05, place(most) + 0.05)
         } else {
-            (least - air, most + air)
+            (least - padding, most + padding)
         };
         let mut chart = ChartBuilder::on(&root)
             .margin(10)
@@ -183,15 +183,15 @@
                 };
             }
             if log {
-                short(10f64.powf(*x))
+                format_short(10f64.powf(*x))
             } else {
-                short(*x)
+                format_short(*x)
             }
         };
         chart
             .configure_mesh()
-            .x_desc(x_words)
-            .y_desc(y_words)
+            .x_desc(x_label)
+            .y_desc(y_label)
             .x_labels(if names.is_empty() {
                 10
             } else {
@@ -203,7 +203,7 @@
             .draw()?;
         for (at, line) in lines.iter().enumerate() {
             let colour = colour(at);
-            // Beside each other where they would cover each other.
+            // Shifted sideways so that overlapping lines stay visible.
             let shift = (at as f64 - 0.5 * (lines.len() - 1) as f64) * 0.004 * (to - from);
             let spot = |x: f64| place(x) + shift;
             let means = line.points.iter().map(|(x, e)| (spot(*x), e.mean));
@@ -218,14 +218,14 @@
             });
             chart.draw_series(bars)?;
         }
-        name_lines(&mut chart, SeriesLabelPosition::LowerLeft)?;
+        draw_legend(&mut chart, SeriesLabelPosition::LowerLeft)?;
         root.present()?;
     }
     Ok(svg)
 }
 
-/// The share of events delivered by a time, over the logarithm of that time.
-pub fn by_time(lines: &[Line]) -> Drawn {
+/// The share of events delivered within a time, over the logarithm of that time.
+pub fn by_time(lines: &[Line]) -> SvgResult {
     let mut svg = String::new();
     {
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
@@ -247,9 +247,9 @@
             .build_cartesian_2d(from..to, 0.0..1.02)?;
         chart
             .configure_mesh()
-            .x_desc("time from the first hand-in to delivery (ms, logarithmic)")
-            .y_desc("share of all events of clients")
-            .x_label_formatter(&|x| short(10f64.powf(*x)))
+            .x_desc("time from the first submission to delivery (ms, logarithmic)")
+            .y_desc("share of all client events")
+            .x_label_formatter(&|x| format_short(10f64.powf(*x)))
             .label_style((FONT, 13))
             .light_line_style(WHITE)
             .draw()?;
@@ -263,14 +263,14 @@
                     PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2))
                 });
         }
-        name_lines(&mut chart, SeriesLabelPosition::LowerRight)?;
+        draw_legend(&mut chart, SeriesLabelPosition::LowerRight)?;
         root.present()?;
     }
     Ok(svg)
 }
 
-/// A bar for each variant, made of what each cause took.
-pub fn by_cause(bars: &[(String, Vec<(String, f64)>)], causes: &[String]) -> Drawn {
+/// A bar for each variant, stacked from the losses by cause.
+pub fn by_cause(bars: &[(String, Vec<(String, f64)>)], causes: &[String]) -> SvgResult {
     let mut svg = String::new();
     {
         let height = 90 + 34 * bars.len() as u32 + 18 * causes.len().div_ceil(2) as u32;
@@ -300,7 +300,7 @@
         chart
             .configure_mesh()
             .disable_y_mesh()
-            .x_desc("payoff not delivered (% of what was asked for)")
+            .x_desc("payoff not delivered (% of the payoff of all events)")
             .y_labels(2 * bars.len() + 1)
             .y_label_formatter(&names)
             .label_style((FONT, 13))
@@ -336,8 +336,8 @@
     Ok(svg)
 }
 
-/// A row for each destination, a column for each step of time: how dark, the share of calls that failed.
-pub fn heat(rows: &[HeatRow], width: f64) -> Drawn {
+/// A row for each destination and a column for each time step; the colour shows the share of calls that failed.
+pub fn heat(rows: &[HeatRow], width: f64) -> SvgResult {
     let mut svg = String::new();
     {
         let height = 70 + 11 * rows.len() as u32;
@@ -364,8 +364,8 @@
                     continue;
                 }
                 let share = (failed as f64 / calls.max(failed).max(1) as f64).min(1.0);
-                // From pale blue, all went well, to dark red, none did.
-                let fade = |well: f64, ill: f64| (well + (ill - well) * share) as u8;
+                // From pale blue, no call failed, to dark red, all calls failed.
+                let fade = |none: f64, all: f64| (none + (all - none) * share) as u8;
                 let fill = RGBColor(fade(222.0, 165.0), fade(235.0, 15.0), fade(247.0, 21.0));
                 let left = step as f64 * width / 1000.0;
                 let corner = [
@@ -388,7 +388,7 @@
     Ok(svg)
 }
 
-fn short(value: f64) -> String {
+fn format_short(value: f64) -> String {
     match value.abs() {
         v if v >= 10_000.0 => format!("{:.0}k", value / 1000.0),
         v if v >= 100.0 => format!("{value:.0}"),
--- a/forwarder/experiments/src/folder.rs
+++ b/forwarder/experiments/src/folder.rs
@@ -1,4 +1,4 @@
-//! The folder of an experiment's results. What is not an experiment's is not touched.
+//! The folder of an experiment's results. A folder with other content is left unchanged.
 
 use std::collections::HashSet;
 use std::fs::{self, File, OpenOptions};
@@ -8,20 +8,20 @@
 
 use crate::days::{Day, Plan, Record};
 
-/// Why an experiment ended before its end.
+/// Why an experiment did not complete.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Stopped {
-    /// What was given is wrong.
+    /// The input is invalid.
     Given(String),
     /// A file could not be read or written.
     Outside(String),
-    /// It was asked to.
+    /// The run was asked to stop.
     Asked,
 }
 
 pub struct Folder {
     path: PathBuf,
-    held: HashSet<usize>,
+    completed: HashSet<usize>,
     days: Mutex<File>,
 }
 
@@ -30,7 +30,7 @@
 const DAYS: &str = "days.jsonl";
 
 impl Folder {
-    /// Opens a folder for a plan: a new or empty one, or one that this very plan was begun in.
+    /// Opens a folder for a plan: a new or empty folder, or one in which the same plan was begun.
     pub fn open(path: &Path, plan: &Plan) -> Result<Folder, Stopped> {
         let name = path.display();
         let outside = |what: &str| {
@@ -47,14 +47,14 @@
             let scenario = fs::read_to_string(path.join(SCENARIO)).unwrap_or_default();
             if begun != plan.experiment_text || scenario != plan.scenario_text {
                 return Err(Stopped::Given(format!(
-                    "{name}: holds another experiment, or another text of this one"
+                    "{name}: holds another experiment, or another version of this one"
                 )));
             }
         } else {
             fs::write(path.join(SCENARIO), &plan.scenario_text).map_err(outside(SCENARIO))?;
             fs::write(path.join(EXPERIMENT), &plan.experiment_text).map_err(outside(EXPERIMENT))?;
         }
-        let held = recover(&path.join(DAYS), plan)?;
+        let completed = recover(&path.join(DAYS), plan)?;
         let days = OpenOptions::new()
             .create(true)
             .append(true)
@@ -62,21 +62,21 @@
             .map_err(outside(DAYS))?;
         Ok(Folder {
             path: path.to_owned(),
-            held,
+            completed,
             days: Mutex::new(days),
         })
     }
 
     pub fn has(&self, day: &Day) -> bool {
-        self.held.contains(&day.number)
+        self.completed.contains(&day.number)
     }
 
     pub fn held(&self) -> usize {
-        self.held.len()
+        self.completed.len()
     }
 
-    /// Writes the record in one piece, so that a run cut off leaves at most one torn line.
-    pub fn keep(&self, record: &Record) -> Result<(), Stopped> {
+    /// Appends the record with one write, so that an interrupted run leaves at most one incomplete line.
+    pub fn append(&self, record: &Record) -> Result<(), Stopped> {
         let mut line =
             serde_json::to_string(record).map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?;
         line.push('\n');
@@ -85,7 +85,7 @@
             .map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))
     }
 
-    /// All records, now in the order of their days.
+    /// Rewrites the file of records in the order of their days, and returns the records.
     pub fn finish(&self, plan: &Plan) -> Result<Vec<Record>, Stopped> {
         let mut records = read(&self.path)?;
         records.sort_by_key(|record| record.number);
@@ -107,20 +107,20 @@
         Ok(records)
     }
 
-    /// Puts a file in its place at once, or not at all.
+    /// Writes a file atomically.
     pub fn write(&self, name: &str, bytes: &[u8]) -> Result<(), Stopped> {
-        write_whole(&self.path, name, bytes)
+        write_atomically(&self.path, name, bytes)
     }
 }
 
-pub(crate) fn write_whole(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), Stopped> {
+pub(crate) fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), Stopped> {
     let new = folder.join(format!("{name}.new"));
     let written = fs::write(&new, bytes).and_then(|()| fs::rename(&new, folder.join(name)));
     written.map_err(|e| Stopped::Outside(format!("{name}: {e}")))
 }
 
-/// The text of the experiment that a folder holds, and of its scenario.
-pub(crate) fn texts(folder: &Path) -> Result<(String, String), Stopped> {
+/// The texts of a folder's experiment and scenario.
+pub(crate) fn read_inputs(folder: &Path) -> Result<(String, String), Stopped> {
     let read = |name: &str| {
         let path = folder.join(name);
         fs::read_to_string(&path).map_err(|e| Stopped::Given(format!("{}: {e}", path.display())))
@@ -141,29 +141,30 @@
     records.collect()
 }
 
-/// What an earlier run left: a last line that was torn is cut off, its day is played again.
+/// Reads the numbers of the days that an earlier run completed. An incomplete last line is truncated; its day is
+/// simulated again.
 fn recover(path: &Path, plan: &Plan) -> Result<HashSet<usize>, Stopped> {
     let outside = |e: std::io::Error| Stopped::Outside(format!("{}: {e}", path.display()));
     let Ok(bytes) = fs::read(path) else {
         return Ok(HashSet::new());
     };
-    let whole = bytes
+    let complete_len = bytes
         .iter()
         .rposition(|byte| *byte == b'\n')
         .map_or(0, |at| at + 1);
-    if whole < bytes.len() {
+    if complete_len < bytes.len() {
         let file = OpenOptions::new().write(true).open(path).map_err(outside)?;
-        file.set_len(whole as u64).map_err(outside)?;
+        file.set_len(complete_len as u64).map_err(outside)?;
     }
-    let mut held = HashSet::new();
-    for (at, line) in bytes[..whole]
+    let mut completed = HashSet::new();
+    for (at, line) in bytes[..complete_len]
         .split(|byte| *byte == b'\n')
         .filter(|line| !line.is_empty())
         .enumerate()
     {
         let record: Record = serde_json::from_slice(line).map_err(|e| {
             Stopped::Given(format!(
-                "{}:{}: is no record of a day: {e}",
+                "{}:{}: not a record of a day: {e}",
                 path.display(),
                 at + 1
             ))
@@ -171,10 +172,10 @@
         if record.commit != plan.commit {
             let (then, now) = (record.commit, &plan.commit);
             let what =
-                format!("was begun with commit {then}, this is {now}: days of both can't stand side by side");
+                format!("was begun with commit {then}, the current commit is {now}: days of different commits cannot be combined");
             return Err(Stopped::Given(format!("{}: {what}", path.display())));
         }
-        held.insert(record.number);
+        completed.insert(record.number);
     }
-    Ok(held)
+    Ok(completed)
 }
--- a/forwarder/experiments/src/lib.rs
+++ b/forwarder/experiments/src/lib.rs
@@ -1,7 +1,7 @@
-//! Experiments with the emulator: many days, what they teach side by side, and pages that show it.
+//! Experiments with the emulator: simulate many days, compare them, and report the results.
 //!
-//! A folder of results holds `experiment.toml` and `scenario.toml` (what was played), `days.jsonl` (a record
-//! for each day), `days.csv` and `compare.csv` (figures), and, once asked for, `report.html`.
+//! A folder of results contains `experiment.toml` and `scenario.toml` (the input), `days.jsonl` (a record for each
+//! day), `days.csv` and `compare.csv` (statistics), and, once requested, `report.html`.
 
 pub mod compare;
 mod days;
@@ -17,9 +17,9 @@
 
 use rayon::prelude::*;
 
-/// Plays all days that the folder does not hold yet, on `jobs` cores (0: all), and tells `done` after each.
-/// Cut off by `stop` or by the end of the process, it can be started again with the same plan and folder.
-/// The files come out the same, to the byte, however many cores there were and however often it was cut off.
+/// Simulates all days that the folder has no record of, on `jobs` cores (0: all), and calls `done` after each. A run
+/// that was interrupted by `stop` or by the end of the process can be continued with the same plan and folder. The
+/// resulting files are identical, byte for byte, for any number of cores and interruptions.
 pub fn run(
     plan: &Plan,
     folder: &Folder,
@@ -29,13 +29,13 @@
 ) -> Result<(), Stopped> {
     let missing: Vec<&Day> = plan.days.iter().filter(|day| !folder.has(day)).collect();
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs).build();
-    let pool = pool.map_err(|e| Stopped::Outside(format!("no threads: {e}")))?;
+    let pool = pool.map_err(|e| Stopped::Outside(format!("cannot start threads: {e}")))?;
     pool.install(|| {
         missing.par_iter().try_for_each(|day| {
             if stop.load(Ordering::Relaxed) {
                 return Err(Stopped::Asked);
             }
-            folder.keep(&plan.play(day))?;
+            folder.append(&plan.play(day))?;
             done();
             Ok(())
         })
--- a/forwarder/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -1,5 +1,5 @@
-//! One page for one who has not seen an experiment of ours: what was asked, what came out, and figures with
-//! a sentence each on how to read them. The page stands alone: no script, no other file.
+//! A report page for readers who do not know these experiments: the question, the results, and charts with a
+//! sentence each on how to read them. The page is self-contained: no script, no other file.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -9,14 +9,14 @@
 use plankhill_forwarder_config::experiment::Experiment;
 use plankhill_forwarder_config::tables::Text;
 
-use crate::compare::{cells, estimate, measure, paired, payoff, Cell};
+use crate::compare::{cells, estimate, measure, paired_differences, payoff, Cell};
 use crate::days::Record;
-use crate::figures::{self, Line, Swept};
+use crate::figures::{self, Line, SweepSeries};
 use crate::folder::{self, Stopped};
 
-/// Writes `report.html` into the folder of an experiment that has been played.
+/// Writes `report.html` into the folder of an experiment, from the days recorded so far.
 pub fn write(dir: &Path) -> Result<(), Stopped> {
-    let (experiment, _) = folder::texts(dir)?;
+    let (experiment, _) = folder::read_inputs(dir)?;
     let text = Text::parse(
         dir.join("experiment.toml").display().to_string(),
         experiment,
@@ -26,37 +26,37 @@
     let mut records = folder::read(dir)?;
     if records.is_empty() {
         return Err(Stopped::Given(format!(
-            "{}: no day has been played yet",
+            "{}: no day has been simulated yet",
             dir.display()
         )));
     }
     records.sort_by_key(|record| record.number);
     let page =
         page(&experiment, &records).map_err(|e| Stopped::Outside(format!("report.html: {e}")))?;
-    folder::write_whole(dir, "report.html", page.as_bytes())
+    folder::write_atomically(dir, "report.html", page.as_bytes())
 }
 
 type Page = Result<String, Box<dyn std::error::Error>>;
 
 fn page(experiment: &Experiment, records: &[Record]) -> Page {
     let cells = cells(records);
-    let mut page = String::from(HEAD);
+    let mut page = String::from(PAGE_HEAD);
     let days = records.len();
     let first = &records[0];
     write!(
         page,
-        "<h1>{}</h1><p>{days} days were played: {} variants, {} seeds each, version {}, commit {}. Each seed gives \
-         all variants the same clients and the same troubles, so that they can be compared day by day. Intervals \
-         hold the true mean in 95 of 100 experiments like this one (bootstrap).</p>",
+        "<h1>{}</h1><p>{days} days were simulated: {} variants, {} seeds each, version {}, commit {}. Each seed gives \
+         all variants the same clients and the same faults, so that they can be compared day by day. Intervals \
+         contain the true mean in 95 of 100 experiments like this one (bootstrap).</p>",
         escaped(&experiment.about),
         experiment.variants.len(),
         experiment.seeds,
         first.version,
         escaped(&first.commit),
     )?;
-    table(&mut page, experiment, &cells)?;
+    payoff_table(&mut page, experiment, &cells)?;
     for (at, sweep) in experiment.sweep.iter().enumerate() {
-        swept(
+        sweep_section(
             &mut page,
             experiment,
             &cells,
@@ -64,7 +64,7 @@
             sweep.label.as_deref().unwrap_or(&sweep.key),
         )?;
     }
-    one_day(&mut page, &cells)?;
+    day_section(&mut page, &cells)?;
     page.push_str("</body></html>\n");
     Ok(page)
 }
@@ -78,9 +78,9 @@
     );
 }
 
-fn table(page: &mut String, experiment: &Experiment, cells: &[Cell]) -> std::fmt::Result {
+fn payoff_table(page: &mut String, experiment: &Experiment, cells: &[Cell]) -> std::fmt::Result {
     let reference = &experiment.variants[0].name;
-    write!(page, "<h2>Payoff delivered</h2><p>The share of the payoff asked for that was delivered, as a mean over the days with its interval, and what each variant has over <b>{}</b> on the same days. An interval that does not hold 0 is a difference. Rules broken is a sum over all days: it should be 0.</p><table><tr><th>variant</th>", escaped(reference))?;
+    write!(page, "<h2>Payoff delivered</h2><p>The delivered share of the payoff of all events, as a mean over the days with its interval, and the difference of each variant from <b>{}</b> on the same days. An interval that does not contain 0 is a significant difference. Rules broken is the sum of invariant violations over all days; it should be 0.</p><table><tr><th>variant</th>", escaped(reference))?;
     for sweep in &experiment.sweep {
         write!(
             page,
@@ -118,9 +118,9 @@
                 estimate(&bounds).map_or(1.0, |bound| bound.mean)
             )?;
         }
-        let first = cell.beside(cells, reference);
+        let first = cell.at_same_point(cells, reference);
         let over = first.filter(|_| cell.variant != reference);
-        match over.and_then(|first| estimate(&paired(cell, first, payoff))) {
+        match over.and_then(|first| estimate(&paired_differences(cell, first, payoff))) {
             Some(over) => write!(
                 page,
                 "<td>{:+.4} <small>{:+.4} to {:+.4}</small></td>",
@@ -136,19 +136,19 @@
     Ok(())
 }
 
-/// Whether all sweeps but the one are at their first value.
+/// Whether all sweeps except the one at position `at` have their first value.
 fn on_axis(cell: &Cell, cells: &[Cell], at: usize) -> bool {
     let mut point = cell.point.iter().enumerate();
     point.all(|(other, value)| other == at || value.1 == cells[0].point[other].1)
 }
 
-/// The figures over one sweep, the others being at their first value.
-fn swept(
+/// The charts over one sweep, with the others at their first value.
+fn sweep_section(
     page: &mut String,
     experiment: &Experiment,
     cells: &[Cell],
     at: usize,
-    words: &str,
+    label: &str,
 ) -> Result<(), Box<dyn std::error::Error>> {
     let sweep = &experiment.sweep[at];
     let values: Vec<String> = cells.iter().fold(Vec::new(), |mut values, cell| {
@@ -176,7 +176,7 @@
             .fold((f64::MAX, 0.0f64), |(l, h), n| (l.min(*n), h.max(*n)));
         least > 0.0 && most >= 20.0 * least
     });
-    let lines = |value: &dyn Fn(&Record) -> f64| -> Vec<Swept> {
+    let lines = |value: &dyn Fn(&Record) -> f64| -> Vec<SweepSeries> {
         let mut lines = Vec::new();
         for variant in &experiment.variants {
             let own = cells
@@ -187,7 +187,7 @@
                 let values: Vec<f64> = cell.days.iter().map(|day| value(day)).collect();
                 Some((place(&cell.point[at].1), estimate(&values)?))
             });
-            lines.push(Swept {
+            lines.push(SweepSeries {
                 name: variant.name.clone(),
                 points: points.collect(),
             });
@@ -205,15 +205,15 @@
             let bounds: Vec<f64> = cell.days.iter().filter_map(|day| day.bound).collect();
             Some((place(&cell.point[at].1), estimate(&bounds)?))
         });
-        of_payoff.push(Swept {
+        of_payoff.push(SweepSeries {
             name: "upper bound".into(),
             points: points.collect(),
         });
     }
     let svg = figures::over_sweep(
         &of_payoff,
-        words,
-        "payoff delivered, share of what was asked for",
+        label,
+        "payoff delivered, share of the payoff of all events",
         &names,
         log,
     )?;
@@ -224,21 +224,21 @@
         ""
     };
     let sentence = format!(
-        "How the payoff changes with {words}: higher is better, bars are 95% intervals.{rest}"
+        "How the payoff changes with {label}: higher is better, bars are 95% intervals.{rest}"
     );
-    figure(page, &format!("Payoff against {words}"), &sentence, &svg);
+    figure(page, &format!("Payoff against {label}"), &sentence, &svg);
     if experiment.variants.len() > 1 {
         let svg = figures::over_sweep(
             &differences(experiment, cells, at, &place),
-            words,
-            "payoff over the first variant's",
+            label,
+            "payoff minus the first variant's",
             &names,
             log,
         )?;
         let first = &experiment.variants[0].name;
         let sentence = format!(
-            "The payoff of each variant less that of {first} on the same days: under 0, {first} is better. Pairing \
-             takes out what all variants have in common on a day.{rest}"
+            "The payoff of each variant minus that of {first} on the same days: below 0, {first} is better. Pairing \
+             removes the variation that all variants have in common on a day.{rest}"
         );
         figure(
             page,
@@ -250,18 +250,18 @@
     for &of in &experiment.measures {
         let svg = figures::over_sweep(
             &lines(&|day| measure(of, day)),
-            words,
-            of.words(),
+            label,
+            of.description(),
             &names,
             log,
         )?;
         let sentence = format!(
-            "The {}, against {words}; bars are 95% intervals.{rest}",
-            of.words()
+            "The {}, against {label}; bars are 95% intervals.{rest}",
+            of.description()
         );
         figure(
             page,
-            &format!("{} ({})", capital(of.words()), sweep.key),
+            &format!("{} ({})", capitalize(of.description()), sweep.key),
             &sentence,
             &svg,
         );
@@ -274,19 +274,19 @@
     cells: &[Cell],
     at: usize,
     place: &dyn Fn(&str) -> f64,
-) -> Vec<Swept> {
+) -> Vec<SweepSeries> {
     let first = &experiment.variants[0].name;
     let mut lines = Vec::new();
     for variant in &experiment.variants {
         let mut points = Vec::new();
         for cell in cells.iter().filter(|cell| cell.variant == variant.name) {
-            let reference = cell.beside(cells, first);
+            let reference = cell.at_same_point(cells, first);
             if let Some(reference) = reference.filter(|_| on_axis(cell, cells, at)) {
-                let over = estimate(&paired(cell, reference, payoff));
+                let over = estimate(&paired_differences(cell, reference, payoff));
                 points.extend(over.map(|over| (place(&cell.point[at].1), over)));
             }
         }
-        lines.push(Swept {
+        lines.push(SweepSeries {
             name: variant.name.clone(),
             points,
         });
@@ -294,8 +294,8 @@
     lines
 }
 
-/// What one day looks like, for each variant, at the last point of the sweeps.
-fn one_day(page: &mut String, cells: &[Cell]) -> Result<(), Box<dyn std::error::Error>> {
+/// The charts of one day, for each variant, at the last point of the sweeps.
+fn day_section(page: &mut String, cells: &[Cell]) -> Result<(), Box<dyn std::error::Error>> {
     let Some(last) = cells.last() else {
         return Ok(());
     };
@@ -324,7 +324,7 @@
         days[0].seed
     )?;
     let shades = &days[0].outcome.fault_intervals;
-    let troubles: Vec<String> = shades
+    let faults: Vec<String> = shades
         .iter()
         .map(|shade| {
             format!(
@@ -335,16 +335,16 @@
             )
         })
         .collect();
-    if !troubles.is_empty() {
+    if !faults.is_empty() {
         write!(
             page,
             "<p>Shaded in the figures: {}.</p>",
-            escaped(&troubles.join(", "))
+            escaped(&faults.join(", "))
         )?;
     }
     let lines = days.iter().map(|day| {
         let series = &day.outcome.series;
-        // Five steps together: single ones are all noise.
+        // Five steps are combined, because single steps are too noisy.
         let steps: Vec<(f64, f64)> = series
             .asked
             .chunks(5)
@@ -368,15 +368,15 @@
         "payoff delivered, share",
         false,
     )?;
-    figure(page, "Payoff over the day", "Of the payoff asked for by events first handed in at that time, the share that was delivered in the end.", &svg);
-    let held = days
+    figure(page, "Payoff over the day", "The share of the payoff of the events first submitted at that time that was delivered in the end.", &svg);
+    let pending = days
         .iter()
         .map(|day| over_steps(day, &day.variant, &day.outcome.series.held));
-    let svg = figures::over_time(&held.collect::<Vec<_>>(), shades, "events held", true)?;
+    let svg = figures::over_time(&pending.collect::<Vec<_>>(), shades, "pending events", true)?;
     figure(
         page,
         "Backlog",
-        "Events that the forwarders held at that time, out or waiting.",
+        "Events pending at the forwarders at that time, in flight or queued.",
         &svg,
     );
     let lines = days.iter().map(|day| Line {
@@ -385,8 +385,8 @@
         dashed: false,
     });
     let svg = figures::by_time(&lines.collect::<Vec<_>>())?;
-    figure(page, "Time to delivery", "By each time, the share of all events that had been delivered. Where a line ends under 1, the rest never was.", &svg);
-    causes(page, &chosen)?;
+    figure(page, "Time to delivery", "The share of all events that were delivered within each time. If a line ends below 1, the remaining events were never delivered.", &svg);
+    causes_section(page, &chosen)?;
     let first = days[0];
     if first.outcome.series.load.iter().any(|load| *load > 0.0) {
         let series = &first.outcome.series;
@@ -400,7 +400,7 @@
         };
         let lines = [
             Line {
-                name: format!("calls that came ({})", first.variant),
+                name: format!("calls received ({})", first.variant),
                 points: per_second(&series.load),
                 dashed: false,
             },
@@ -410,12 +410,12 @@
                 dashed: true,
             },
         ];
-        let svg = figures::over_time(&lines, shades, "calls a second", true)?;
-        figure(page, "Load at the destinations struck", "Calls and pings that reached the destinations that a trouble strikes, against what these could serve at that time, warm-up and limits counted. Load over capacity waits there, is refused, or tips a cold destination.", &svg);
+        let svg = figures::over_time(&lines, shades, "calls per second", true)?;
+        figure(page, "Load at the affected destinations", "Calls and health checks that reached the destinations affected by a fault, against the calls that these could serve at that time, including warm-up and limits. Load above capacity is queued there, is rejected, or overloads a destination that is warming up.", &svg);
     }
     if !first.outcome.heat.is_empty() {
         let svg = figures::heat(&first.outcome.heat, first.outcome.series.width)?;
-        figure(page, &format!("Destinations over the day ({})", first.variant), "A row for each destination, the most used and those struck (*): pale where calls went well, dark red where they failed or were refused, white where nothing was sent.", &svg);
+        figure(page, &format!("Destinations over the day ({})", first.variant), "A row for each destination, the most used and the affected ones (*): pale where calls succeeded, dark red where they failed or were rejected, white where nothing was sent.", &svg);
     }
     Ok(())
 }
@@ -450,7 +450,7 @@
     steps.collect()
 }
 
-fn causes(page: &mut String, cells: &[&Cell]) -> Result<(), Box<dyn std::error::Error>> {
+fn causes_section(page: &mut String, cells: &[&Cell]) -> Result<(), Box<dyn std::error::Error>> {
     let mut bars = Vec::new();
     let mut weight: BTreeMap<LossCause, f64> = BTreeMap::new();
     for cell in cells {
@@ -483,11 +483,11 @@
         })
         .collect();
     let svg = figures::by_cause(&bars, &words)?;
-    figure(page, "Where the payoff went", "What was asked for and not delivered, by cause, as a mean over all seeds at this point. Shorter is better.", &svg);
+    figure(page, "Where the payoff went", "The payoff that was not delivered, by cause, as a mean over all seeds at this point. Shorter is better.", &svg);
     Ok(())
 }
 
-fn capital(words: &str) -> String {
+fn capitalize(words: &str) -> String {
     let mut letters = words.chars();
     letters.next().map_or(String::new(), |first| {
         first.to_uppercase().chain(letters).collect()
@@ -500,7 +500,7 @@
         .replace('>', "&gt;")
 }
 
-const HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>plankhill experiment</title><style>
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>plankhill experiment</title><style>
 body{font:15px/1.45 sans-serif;max-width:900px;margin:2em auto;padding:0 1em;color:#222}
 h1{font-size:1.5em;margin-top:1.6em}h2{font-size:1.15em;margin-top:1.8em}
 table{border-collapse:collapse}td,th{padding:.25em .7em;border-bottom:1px solid #ddd;text-align:left}
--- a/forwarder/experiments/src/shipped.rs
+++ b/forwarder/experiments/src/shipped.rs
@@ -1,4 +1,4 @@
-//! The scenarios of the folder `scenarios/`, which come with the program.
+//! The scenarios of the folder `scenarios/`, which are compiled into the program.
 
 use std::path::Path;
 
@@ -10,7 +10,7 @@
     };
 }
 
-/// Name and text.
+/// The name and text of each shipped scenario.
 pub const SHIPPED: &[(&str, &str)] = shipped![
     "ordinary-day",
     "eid-rush",
@@ -29,7 +29,7 @@
     "connections-short",
 ];
 
-/// A file if there is one of that name, or else one that is shipped.
+/// Reads the file of this name if it exists, otherwise the shipped scenario of this name.
 pub fn find(name: &str) -> Result<Text, String> {
     if Path::new(name).exists() {
         return Text::read(Path::new(name));
@@ -49,7 +49,7 @@
     })
 }
 
-/// The sentence that a scenario says of itself.
+/// The description of a scenario: its key `about`.
 pub fn about(name: &str, text: &str) -> Result<String, String> {
     let text = Text::parse(format!("scenarios/{name}.toml"), text.to_owned())?;
     let about = text.table().get("about").and_then(|about| about.as_str());
--- a/forwarder/experiments/tests/folders.rs
+++ b/forwarder/experiments/tests/folders.rs
@@ -1,4 +1,4 @@
-//! Results come out the same however they were made, and a folder that holds something else is left alone.
+//! The results do not depend on cores and interruptions, and a folder with other content is not changed.
 
 use std::fs;
 use std::path::PathBuf;
@@ -41,17 +41,17 @@
     .expect("right")
 }
 
-/// A folder of its own for each story, gone with it.
-struct Own(PathBuf);
+/// A temporary folder for a test, removed on drop.
+struct TempFolder(PathBuf);
 
-impl Own {
-    fn new(name: &str) -> Own {
+impl TempFolder {
+    fn new(name: &str) -> TempFolder {
         let path = std::env::temp_dir().join(format!(
             "plankhill-experiments-{}-{name}",
             std::process::id()
         ));
         let _ = fs::remove_dir_all(&path);
-        Own(path)
+        TempFolder(path)
     }
     fn bytes(&self) -> Vec<Vec<u8>> {
         ["days.jsonl", "days.csv", "compare.csv"]
@@ -60,15 +60,15 @@
     }
 }
 
-impl Drop for Own {
+impl Drop for TempFolder {
     fn drop(&mut self) {
         let _ = fs::remove_dir_all(&self.0);
     }
 }
 
-fn play(own: &Own, jobs: usize, most: usize) -> Result<(), Stopped> {
+fn play(folder: &TempFolder, jobs: usize, most: usize) -> Result<(), Stopped> {
     let plan = plan();
-    let folder = Folder::open(&own.0, &plan)?;
+    let folder = Folder::open(&folder.0, &plan)?;
     let (stop, played) = (AtomicBool::new(most == 0), AtomicUsize::new(0));
     run(&plan, &folder, jobs, &stop, || {
         if played.fetch_add(1, Ordering::Relaxed) + 1 >= most {
@@ -78,47 +78,51 @@
 }
 
 #[rstest]
-fn one_core_or_four_and_cut_off_or_not_the_bytes_are_the_same() {
-    let (one, four, cut) = (Own::new("one"), Own::new("four"), Own::new("cut"));
+fn results_do_not_depend_on_cores_and_interruptions() {
+    let (one, four, interrupted) = (
+        TempFolder::new("one"),
+        TempFolder::new("four"),
+        TempFolder::new("interrupted"),
+    );
     play(&one, 1, usize::MAX).expect("played");
     play(&four, 4, usize::MAX).expect("played");
-    assert_eq!(play(&cut, 1, 3), Err(Stopped::Asked));
-    // The last line was torn as the power went.
-    let days = cut.0.join("days.jsonl");
+    assert_eq!(play(&interrupted, 1, 3), Err(Stopped::Asked));
+    // A power failure left the last line incomplete.
+    let days = interrupted.0.join("days.jsonl");
     let bytes = fs::read(&days).expect("begun");
-    fs::write(&days, &bytes[..bytes.len() - 100]).expect("torn");
-    play(&cut, 2, usize::MAX).expect("goes on");
+    fs::write(&days, &bytes[..bytes.len() - 100]).expect("truncated");
+    play(&interrupted, 2, usize::MAX).expect("continued");
     assert_eq!(one.bytes(), four.bytes());
-    assert_eq!(one.bytes(), cut.bytes());
+    assert_eq!(one.bytes(), interrupted.bytes());
     report::write(&one.0).expect("drawn");
     let page = fs::read_to_string(one.0.join("report.html")).expect("written");
     assert!(page.contains("<svg") && page.contains("Payoff against") && !page.contains("<script"));
 }
 
 #[rstest]
-fn a_folder_that_holds_something_else_is_not_touched() {
-    let own = Own::new("other");
-    fs::create_dir_all(&own.0).expect("made");
-    fs::write(own.0.join("letter.txt"), "dear").expect("written");
-    let said = play(&own, 1, usize::MAX).expect_err("refused");
-    assert!(matches!(said, Stopped::Given(what) if what.contains("something else")));
-    assert_eq!(fs::read_dir(&own.0).expect("there").count(), 1);
+fn a_folder_with_other_content_is_not_changed() {
+    let folder = TempFolder::new("other");
+    fs::create_dir_all(&folder.0).expect("made");
+    fs::write(folder.0.join("letter.txt"), "dear").expect("written");
+    let error = play(&folder, 1, usize::MAX).expect_err("refused");
+    assert!(matches!(error, Stopped::Given(what) if what.contains("something else")));
+    assert_eq!(fs::read_dir(&folder.0).expect("there").count(), 1);
 }
 
 #[rstest]
-fn another_experiment_s_folder_is_not_touched() {
-    let own = Own::new("another");
-    play(&own, 4, usize::MAX).expect("played");
-    let before = own.bytes();
-    fs::write(own.0.join("experiment.toml"), "about = \"else\"").expect("written");
+fn a_folder_of_another_experiment_is_not_changed() {
+    let folder = TempFolder::new("another");
+    play(&folder, 4, usize::MAX).expect("played");
+    let before = folder.bytes();
+    fs::write(folder.0.join("experiment.toml"), "about = \"else\"").expect("written");
     assert!(
-        matches!(play(&own, 1, usize::MAX), Err(Stopped::Given(what)) if what.contains("another"))
+        matches!(play(&folder, 1, usize::MAX), Err(Stopped::Given(what)) if what.contains("another"))
     );
-    assert_eq!(own.bytes(), before);
+    assert_eq!(folder.bytes(), before);
 }
 
 #[rstest]
-fn an_interval_holds_the_mean_and_narrows_with_days() {
+fn an_interval_contains_the_mean_and_narrows_with_days() {
     let of = |days: usize| {
         estimate(&(0..days).map(|day| (day % 10) as f64).collect::<Vec<_>>()).expect("days")
     };
@@ -128,7 +132,7 @@
 }
 
 #[rstest]
-fn every_scenario_that_is_shipped_is_right() {
+fn every_shipped_scenario_is_valid() {
     for (name, _) in shipped::SHIPPED {
         let text = shipped::find(name).expect("there");
         Scenario::read(&text).unwrap_or_else(|what| panic!("{what}"));
