--- a/forwarder/config/src/experiment.rs
+++ b/forwarder/config/src/experiment.rs
@@ -54,34 +54,39 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Measure {
-    ColdLoad,
-    Tipped,
+    #[serde(rename = "cold_load")]
+    WarmUpLoad,
+    #[serde(rename = "tipped")]
+    Overloads,
     CallsPerEvent,
-    /// The cost of a fleet's decisions: a round is one event loop iteration of one forwarder, which handles its
-    /// new inputs.
-    RoundsPerEvent,
-    RefusedShare,
+    /// The cost of a fleet's decisions: the event loop iterations of all forwarders.
+    #[serde(rename = "rounds_per_event")]
+    IterationsPerEvent,
+    #[serde(rename = "refused_share")]
+    RejectedShare,
     FailedShare,
-    MostHeld,
+    #[serde(rename = "most_held")]
+    PeakPendingEvents,
     LateShare,
-    Rules,
+    #[serde(rename = "rules")]
+    InvariantViolations,
 }
 
 impl Measure {
     /// The measure in words, for axis labels and headings.
     pub fn description(self) -> &'static str {
         match self {
-            Measure::ColdLoad => {
+            Measure::WarmUpLoad => {
                 "highest load on a recovering destination, as a share of the load that overloads it"
             }
-            Measure::Tipped => "destinations overloaded per day",
+            Measure::Overloads => "destinations overloaded per day",
             Measure::CallsPerEvent => "calls per client event",
-            Measure::RoundsPerEvent => "rounds of decisions per client event",
-            Measure::RefusedShare => "share of calls rejected",
+            Measure::IterationsPerEvent => "event loop iterations per client event",
+            Measure::RejectedShare => "share of calls rejected",
             Measure::FailedShare => "share of calls failed",
-            Measure::MostHeld => "most events pending at once",
+            Measure::PeakPendingEvents => "most events pending at once",
             Measure::LateShare => "share of the payoff lost to lateness",
-            Measure::Rules => "violations of invariants per day",
+            Measure::InvariantViolations => "violations of invariants per day",
         }
     }
 }
--- a/forwarder/config/src/fanout.rs
+++ b/forwarder/config/src/fanout.rs
@@ -110,8 +110,8 @@
         return Err(file.wrong("fanout", "cannot be combined with a section pools"));
     }
     if fleet.replication.is_some() {
-        // An instance that takes over a record would deliver copies that the control group does not know to be at
-        // that instance.
+        // An instance that takes over a record would deliver copies that the control group has not assigned to that
+        // instance.
         return Err(file.wrong("fanout", "cannot be combined with a section copies"));
     }
     if traffic.iter().any(|name| name == BROADCAST) {
--- a/forwarder/config/src/fleet.rs
+++ b/forwarder/config/src/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet file, which `PROXY_FLEET` names: the instances of a fleet, their timing, and what they store for
-//! each other. Each error names its key and line.
+//! The fleet file, which `PROXY_FLEET` names: the instances of a fleet, their timing, and the replication between
+//! them. Each error names its key and line.
 
 use std::collections::BTreeSet;
 
--- a/forwarder/config/src/fleet/kinds.rs
+++ b/forwarder/config/src/fleet/kinds.rs
@@ -28,7 +28,7 @@
     pub replace: Ms,
 }
 
-/// What an instance stores for other instances.
+/// Limits on the records that an instance stores for other instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ReplicationConfig {
     /// Keepers of each record: 2f keepers tolerate f failures.
--- a/forwarder/config/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -122,7 +122,7 @@
     let has_mgmt = variable("PROXY_MGMT").is_some() || present(root, "mgmt").is_some();
     let mgmt = has_mgmt.then(|| either("PROXY_MGMT", "mgmt")).transpose()?;
     let mgmt = mgmt.map(|(name, value)| match address((name.clone(), value))? {
-        // Port 0 stands for a different free port each time.
+        // Each bind to port 0 gets a different free port.
         same if same == listen && same.port() != 0 => {
             Err(format!("{name}: {same} is the clients' address"))
         }
--- a/forwarder/config/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -37,7 +37,7 @@
     pub max_faults: Option<usize>,
 }
 
-/// What makes the decisions at the forwarders: the decision module, or a baseline to compare it with.
+/// The decider of the forwarders: the decision module, or a baseline to compare it with.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Decider {
@@ -68,25 +68,33 @@
     pub decisions: Decider,
     /// A baseline's timeout of each call; the module computes its own timeouts.
     pub time_out: Ms,
-    pub slots: usize,
+    #[serde(rename = "slots")]
+    pub max_calls_in_flight: usize,
     /// The limit on events that are pending or whose completion is not acknowledged; further events are rejected at
     /// submission.
-    pub room: usize,
+    #[serde(rename = "room")]
+    pub event_capacity: usize,
     /// The shortest time between two event loop iterations of one forwarder.
-    pub round: Ms,
+    #[serde(rename = "round")]
+    pub min_iteration_interval: Ms,
     /// The completion of an event that was accepted earlier goes by a notification, which is acknowledged after this
     /// time.
-    pub notice: Ms,
+    #[serde(rename = "notice")]
+    pub notification_delay: Ms,
     /// A change of the endpoint list reaches a forwarder after a delay drawn uniformly between these two.
     pub list_delay: [Ms; 2],
     /// The share of changes that an update of the endpoint list leaves out; they come with the next update.
-    pub list_partial: f64,
-    /// How long the layer before the forwarders continues to send to a forwarder that is down.
-    pub front_lag: Ms,
+    #[serde(rename = "list_partial")]
+    pub list_omitted_share: f64,
+    /// The time for which the layer before the forwarders continues to send to a forwarder that is down.
+    #[serde(rename = "front_lag")]
+    pub routing_lag: Ms,
     /// The time between the end of a process that was shut down and the start of the next one.
-    pub restart: Ms,
+    #[serde(rename = "restart")]
+    pub restart_delay: Ms,
     /// The time that a process has to shut down.
-    pub closing: Ms,
+    #[serde(rename = "closing")]
+    pub shutdown_timeout: Ms,
 }
 
 impl Default for Forwarders {
@@ -95,53 +103,64 @@
             count: 3,
             decisions: Decider::Module,
             time_out: 2000.0,
-            slots: 64,
-            room: 2000,
-            round: 0.0,
-            notice: 5.0,
+            max_calls_in_flight: 64,
+            event_capacity: 2000,
+            min_iteration_interval: 0.0,
+            notification_delay: 5.0,
             list_delay: [200.0, 2000.0],
-            list_partial: 0.0,
-            front_lag: 2000.0,
-            restart: 500.0,
-            closing: 3400.0,
+            list_omitted_share: 0.0,
+            routing_lag: 2000.0,
+            restart_delay: 500.0,
+            shutdown_timeout: 3400.0,
         }
     }
 }
 
-/// The rules that the forwarders are configured with, and what they are allowed to do.
+/// The rules that the forwarders are configured with, and the limits on their actions.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    pub sends_cap: u32,
-    pub pings: bool,
-    pub longest_advice: Option<Ms>,
+    #[serde(rename = "sends_cap")]
+    pub max_attempts: u32,
+    #[serde(rename = "pings")]
+    pub health_checks: bool,
+    #[serde(rename = "longest_advice")]
+    pub max_retry_after: Option<Ms>,
     pub grace: Ms,
-    pub key_rest: Ms,
-    pub cold_share: f64,
-    pub warm_after: Ms,
-    pub tip_multiple: f64,
-    /// A lane that is warming up is overloaded when the load within this time exceeds `tip_multiple` of its capacity.
-    pub tip_span: Ms,
-    /// The least load within `tip_span`, in calls, that can overload a lane.
-    pub tip_least: f64,
-    /// How long an overloaded lane is down.
-    pub tipped: Ms,
+    #[serde(rename = "key_rest")]
+    pub key_cooldown: Ms,
+    #[serde(rename = "cold_share")]
+    pub warm_up_initial_share: f64,
+    #[serde(rename = "warm_after")]
+    pub warm_up_duration: Ms,
+    #[serde(rename = "tip_multiple")]
+    pub overload_multiple: f64,
+    /// A lane that is warming up is overloaded when the load within this time exceeds `overload_multiple` times its
+    /// capacity.
+    #[serde(rename = "tip_span")]
+    pub overload_window: Ms,
+    /// The least load within `overload_window`, in calls, that can overload a lane.
+    #[serde(rename = "tip_least")]
+    pub overload_min_load: f64,
+    /// The downtime of an overloaded lane.
+    #[serde(rename = "tipped")]
+    pub overload_duration: Ms,
 }
 
 impl Default for Rules {
     fn default() -> Self {
         Rules {
-            sends_cap: 6,
-            pings: true,
-            longest_advice: Some(2000.0),
+            max_attempts: 6,
+            health_checks: true,
+            max_retry_after: Some(2000.0),
             grace: 250.0,
-            key_rest: 300.0,
-            cold_share: 0.2,
-            warm_after: 10_000.0,
-            tip_multiple: 2.0,
-            tip_span: 1000.0,
-            tip_least: 5.0,
-            tipped: 10_000.0,
+            key_cooldown: 300.0,
+            warm_up_initial_share: 0.2,
+            warm_up_duration: 10_000.0,
+            overload_multiple: 2.0,
+            overload_window: 1000.0,
+            overload_min_load: 5.0,
+            overload_duration: 10_000.0,
         }
     }
 }
@@ -194,13 +213,13 @@
     #[serde(default = "one")]
     pub zipf: f64,
     /// The share of arrivals that bring a burst of events, and the mean size of a burst.
-    #[serde(default)]
-    pub clumps: f64,
-    #[serde(default = "ten")]
-    pub clump_size: f64,
+    #[serde(default, rename = "clumps")]
+    pub burst_share: f64,
+    #[serde(default = "ten", rename = "clump_size")]
+    pub burst_size: f64,
     /// The rate varies by this share over `day`.
-    #[serde(default)]
-    pub swing: f64,
+    #[serde(default, rename = "swing")]
+    pub rate_variation: f64,
     #[serde(default = "day")]
     pub day: Ms,
     /// The number of order keys, and the Zipf exponent of their popularity.
@@ -211,14 +230,15 @@
     /// Destinations are assigned to tenants in rotation.
     #[serde(default = "tenants")]
     pub tenants: usize,
-    /// How often a rejected event is submitted again, and the mean pause before that without a retry-after.
-    #[serde(default = "resubmissions")]
-    pub returns: u32,
-    #[serde(default = "pause")]
-    pub pause: Ms,
+    /// The limit on resubmissions of a rejected event, and the mean pause before one if the rejection has no
+    /// retry-after.
+    #[serde(default = "resubmissions", rename = "returns")]
+    pub max_resubmissions: u32,
+    #[serde(default = "pause", rename = "pause")]
+    pub resubmission_pause: Ms,
     /// An event that could not be submitted, or was lost with a machine, is submitted again after this time.
-    #[serde(default = "again_after")]
-    pub again_after: Ms,
+    #[serde(default = "again_after", rename = "again_after")]
+    pub retry_pause: Ms,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -266,8 +286,8 @@
     /// The group's share of the traffic, relative to the sum of all shares.
     #[serde(default = "one")]
     pub share: f64,
-    #[serde(default)]
-    pub routes_apart: bool,
+    #[serde(default, rename = "routes_apart")]
+    pub independent_routes: bool,
     #[serde(default = "one_usize")]
     pub events_per_call: usize,
     /// At each target: calls served concurrently, and the length of its queue.
@@ -285,8 +305,8 @@
     pub connections: usize,
     #[serde(default)]
     pub set_up: Ms,
-    #[serde(default)]
-    pub reaped_after: Ms,
+    #[serde(default, rename = "reaped_after")]
+    pub idle_timeout: Ms,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -309,8 +329,9 @@
     /// The share of answers from the tail, and the tail's exponent (over 1).
     pub tail: f64,
     pub alpha: f64,
-    /// How far targets differ: each has a factor drawn uniformly from 1 - `differ` to 1 + `differ`.
-    pub differ: f64,
+    /// How far targets differ: each has a factor drawn uniformly from 1 - `target_variation` to 1 + `target_variation`.
+    #[serde(rename = "differ")]
+    pub target_variation: f64,
 }
 
 impl Default for Answer {
@@ -321,7 +342,7 @@
             spread: 0.5,
             tail: 0.01,
             alpha: 1.5,
-            differ: 0.0,
+            target_variation: 0.0,
         }
     }
 }
@@ -346,13 +367,16 @@
     /// The burst that a rate limit admits.
     pub burst: f64,
     pub window: Ms,
-    pub refused_count: bool,
+    #[serde(rename = "refused_count")]
+    pub counts_rejected_calls: bool,
     /// The least retry-after of a rejection; the retry-after is the time until the limit admits calls again. 0:
     /// rejections carry no retry-after.
-    pub tells_wait: Ms,
+    #[serde(rename = "tells_wait")]
+    pub min_retry_after: Ms,
     /// Whether the load that a destination can handle while it warms up is bounded by the limit, scaled by how far
     /// it has warmed up, although its answers do not slow down. Otherwise only its servers bound that load.
-    pub bears_cold: bool,
+    #[serde(rename = "bears_cold")]
+    pub bounds_warm_up: bool,
 }
 
 impl Default for Limit {
@@ -362,9 +386,9 @@
             calls: 10.0,
             burst: 5.0,
             window: 1000.0,
-            refused_count: false,
-            tells_wait: 0.0,
-            bears_cold: false,
+            counts_rejected_calls: false,
+            min_retry_after: 0.0,
+            bounds_warm_up: false,
         }
     }
 }
@@ -432,7 +456,7 @@
     pub scope: FaultScope,
 }
 
-/// What a fault strikes. Each key narrows the selection; without any, the fault strikes everything.
+/// The scope of a fault. Each key narrows the selection; without any, the fault affects everything.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct FaultScope {
--- a/forwarder/config/src/scenario/check.rs
+++ b/forwarder/config/src/scenario/check.rs
@@ -95,37 +95,37 @@
 fn forwarders(of: &Forwarders) -> Checked {
     within("forwarders.count", of.count as f64, 1.0, 100_000.0)?;
     least("forwarders.time_out", of.time_out, 1.0)?;
-    least("forwarders.slots", of.slots as f64, 1.0)?;
-    least("forwarders.room", of.room as f64, 1.0)?;
-    least("forwarders.round", of.round, 0.0)?;
-    least("forwarders.notice", of.notice, 0.0)?;
+    least("forwarders.slots", of.max_calls_in_flight as f64, 1.0)?;
+    least("forwarders.room", of.event_capacity as f64, 1.0)?;
+    least("forwarders.round", of.min_iteration_interval, 0.0)?;
+    least("forwarders.notice", of.notification_delay, 0.0)?;
     least("forwarders.list_delay[0]", of.list_delay[0], 0.0)?;
     least(
         "forwarders.list_delay[1]",
         of.list_delay[1],
         of.list_delay[0],
     )?;
-    within("forwarders.list_partial", of.list_partial, 0.0, 0.95)?;
-    least("forwarders.front_lag", of.front_lag, 0.0)?;
-    least("forwarders.restart", of.restart, 0.0)?;
-    least("forwarders.closing", of.closing, 0.0)
+    within("forwarders.list_partial", of.list_omitted_share, 0.0, 0.95)?;
+    least("forwarders.front_lag", of.routing_lag, 0.0)?;
+    least("forwarders.restart", of.restart_delay, 0.0)?;
+    least("forwarders.closing", of.shutdown_timeout, 0.0)
 }
 
 fn rules(of: &Rules) -> Checked {
-    least("rules.sends_cap", of.sends_cap as f64, 1.0)?;
+    least("rules.sends_cap", of.max_attempts as f64, 1.0)?;
     least(
         "rules.longest_advice",
-        of.longest_advice.unwrap_or(0.0),
+        of.max_retry_after.unwrap_or(0.0),
         0.0,
     )?;
     least("rules.grace", of.grace, 0.0)?;
-    least("rules.key_rest", of.key_rest, 0.0)?;
-    within("rules.cold_share", of.cold_share, 0.01, 1.0)?;
-    least("rules.warm_after", of.warm_after, 1.0)?;
-    least("rules.tip_multiple", of.tip_multiple, 0.1)?;
-    least("rules.tip_span", of.tip_span, 1.0)?;
-    least("rules.tip_least", of.tip_least, 0.0)?;
-    least("rules.tipped", of.tipped, 1.0)
+    least("rules.key_rest", of.key_cooldown, 0.0)?;
+    within("rules.cold_share", of.warm_up_initial_share, 0.01, 1.0)?;
+    least("rules.warm_after", of.warm_up_duration, 1.0)?;
+    least("rules.tip_multiple", of.overload_multiple, 0.1)?;
+    least("rules.tip_span", of.overload_window, 1.0)?;
+    least("rules.tip_least", of.overload_min_load, 0.0)?;
+    least("rules.tipped", of.overload_duration, 1.0)
 }
 
 fn network(of: &Network) -> Checked {
@@ -151,15 +151,15 @@
 fn clients(of: &Clients) -> Checked {
     least("clients.rate", of.rate, 0.0)?;
     within("clients.zipf", of.zipf, 0.0, 10.0)?;
-    share("clients.clumps", of.clumps)?;
-    least("clients.clump_size", of.clump_size, 1.0)?;
-    share("clients.swing", of.swing)?;
+    share("clients.clumps", of.burst_share)?;
+    least("clients.clump_size", of.burst_size, 1.0)?;
+    share("clients.swing", of.rate_variation)?;
     least("clients.day", of.day, 1.0)?;
     least("clients.keys", of.keys as f64, 1.0)?;
     within("clients.key_zipf", of.key_zipf, 0.0, 10.0)?;
     least("clients.tenants", of.tenants as f64, 1.0)?;
-    least("clients.pause", of.pause, 1.0)?;
-    least("clients.again_after", of.again_after, 1.0)
+    least("clients.pause", of.resubmission_pause, 1.0)?;
+    least("clients.again_after", of.retry_pause, 1.0)
 }
 
 fn destinations(at: &str, group: &Group) -> Checked {
@@ -170,16 +170,21 @@
     least(&key("events_per_call"), group.events_per_call as f64, 1.0)?;
     within(&key("servers"), group.servers as f64, 1.0, 1e6)?;
     least(&key("set_up"), group.set_up, 0.0)?;
-    least(&key("reaped_after"), group.reaped_after, 0.0)?;
+    least(&key("reaped_after"), group.idle_timeout, 0.0)?;
     least(&key("answer.mean"), group.answer.mean, 0.001)?;
     within(&key("answer.spread"), group.answer.spread, 0.0, 5.0)?;
     share(&key("answer.tail"), group.answer.tail)?;
     within(&key("answer.alpha"), group.answer.alpha, 1.01, 10.0)?;
-    within(&key("answer.differ"), group.answer.differ, 0.0, 0.9)?;
+    within(
+        &key("answer.differ"),
+        group.answer.target_variation,
+        0.0,
+        0.9,
+    )?;
     least(&key("limit.calls"), group.limit.calls, 0.0)?;
     least(&key("limit.burst"), group.limit.burst, 1.0)?;
     least(&key("limit.window"), group.limit.window, 1.0)?;
-    least(&key("limit.tells_wait"), group.limit.tells_wait, 0.0)
+    least(&key("limit.tells_wait"), group.limit.min_retry_after, 0.0)
 }
 
 fn check_fault(at: &str, fault: &Fault, scenario: &Scenario) -> Checked {
@@ -257,8 +262,8 @@
         .iter()
         .map(|g| (g.count * g.targets) as f64)
         .sum();
-    let rate = clients.rate * (1.0 + clients.swing) * (1.0 + floods.sum::<f64>());
-    let clump = 1.0 + clients.clumps * (clients.clump_size - 1.0);
+    let rate = clients.rate * (1.0 + clients.rate_variation) * (1.0 + floods.sum::<f64>());
+    let clump = 1.0 + clients.burst_share * (clients.burst_size - 1.0);
     let woken: f64 = wakes.sum::<f64>() * destinations;
     // Upper bound of the events pending at once: the traffic of the longest patience, or of the complete day if
     // that is shorter.
--- a/forwarder/config/tests/config.rs
+++ b/forwarder/config/tests/config.rs
@@ -77,8 +77,8 @@
     );
 }
 
-/// With kinds that accept several events per call, each event on sockets was sent as a call of its own while all
-/// events shared one slot, so that four calls in ten were rejected for lack of a slot.
+/// With kinds that accept several events per call, all events of a call shared one slot, but each event on sockets
+/// was sent as a call of its own: four calls in ten were rejected for lack of a slot.
 #[rstest]
 fn a_call_on_sockets_carries_one_event_regardless_of_the_simulator_limit() {
     let mut config = config();
--- a/forwarder/config/tests/scenarios.rs
+++ b/forwarder/config/tests/scenarios.rs
@@ -39,7 +39,7 @@
     assert_eq!(
         (
             scenario.forwarders.count,
-            scenario.rules.sends_cap,
+            scenario.rules.max_attempts,
             scenario.seed
         ),
         (3, 6, 0)
--- a/forwarder/emulator/src/bound.rs
+++ b/forwarder/emulator/src/bound.rs
@@ -76,7 +76,7 @@
     let mut room: Vec<f64> = open.iter().map(|calls| calls * STEP / 1000.0).collect();
     let per_call = scenario.destinations[affected.groups[destination as usize] as usize]
         .events_per_call as f64;
-    // Where to look next when a step is full (union-find with path compression).
+    // The next step to try when a step is full (union-find with path compression).
     let mut before: Vec<usize> = (0..=steps).collect();
     let mut paid = 0.0;
     for (worth, last) in jobs {
--- a/forwarder/emulator/src/clients.rs
+++ b/forwarder/emulator/src/clients.rs
@@ -21,8 +21,8 @@
     pub key: Option<u64>,
     pub first_at: Ms,
     pub deadline: Ms,
-    /// How often the event was rejected and submitted again.
-    pub returns: u32,
+    /// The number of times the event was rejected and submitted again.
+    pub resubmissions: u32,
     /// The latest reason why the event was not delivered.
     pub cause: LossCause,
 }
@@ -103,8 +103,8 @@
         add(
             0.0,
             scenario.length,
-            of.rate * (1.0 + of.swing),
-            of.swing > 0.0,
+            of.rate * (1.0 + of.rate_variation),
+            of.rate_variation > 0.0,
             u64::MAX,
             weighted(&all),
         );
@@ -181,7 +181,7 @@
             key,
             first_at: at,
             deadline: at + of.patience,
-            returns: 0,
+            resubmissions: 0,
             cause: LossCause::Waited,
         }
     }
@@ -219,9 +219,9 @@
                 }
             };
             let of = &self.scenario.clients;
-            let clumped = of.clumps > 0.0 && uniform(&mut self.rng) < of.clumps;
-            let extra = if clumped {
-                exponential(&mut self.rng, of.clump_size - 1.0).round() as usize
+            let is_burst = of.burst_share > 0.0 && uniform(&mut self.rng) < of.burst_share;
+            let extra = if is_burst {
+                exponential(&mut self.rng, of.burst_size - 1.0).round() as usize
             } else {
                 0
             };
@@ -241,5 +241,5 @@
     // A triangle: lowest at both ends of the day, highest in its middle.
     let phase: f64 = (at / of.day).fract();
     let height = 1.0 - 2.0 * (2.0 * phase - 1.0).abs();
-    (1.0 + of.swing * height) / (1.0 + of.swing)
+    (1.0 + of.rate_variation * height) / (1.0 + of.rate_variation)
 }
--- a/forwarder/emulator/src/deciders/baseline.rs
+++ b/forwarder/emulator/src/deciders/baseline.rs
@@ -265,7 +265,7 @@
 }
 
 impl Decider for Baseline {
-    fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
+    fn iterate(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
         let had_room = self.out < self.config.max_calls_in_flight;
         for input in inputs {
             self.take(input, now);
--- a/forwarder/emulator/src/deciders/mod.rs
+++ b/forwarder/emulator/src/deciders/mod.rs
@@ -101,8 +101,8 @@
 }
 
 pub trait Decider {
-    /// One iteration of the event loop: all inputs in their order; decisions are appended to `out`.
-    fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>);
+    /// Runs one iteration of the event loop: handles all inputs in order and appends the decisions to `out`.
+    fn iterate(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>);
 }
 
 /// The ids of targets by number, allocated once for all forwarders.
--- a/forwarder/emulator/src/deciders/module.rs
+++ b/forwarder/emulator/src/deciders/module.rs
@@ -40,7 +40,7 @@
 }
 
 impl Decider for ModuleDecider {
-    fn round(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
+    fn iterate(&mut self, now: Ms, inputs: &[Input], out: &mut Vec<Decision>) {
         let ModuleDecider {
             forwarder,
             names,
--- a/forwarder/emulator/src/outcome.rs
+++ b/forwarder/emulator/src/outcome.rs
@@ -154,7 +154,7 @@
     pub destination: u32,
     /// Its group in the scenario.
     pub group: String,
-    /// Whether a fault of the scenario strikes it.
+    /// Whether a fault of the scenario affects the destination.
     pub struck: bool,
     /// Calls by step.
     pub calls: Vec<u32>,
@@ -174,7 +174,7 @@
     pub end: Ms,
 }
 
-/// How often an invariant was violated.
+/// The number of violations of an invariant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RuleCount {
     /// The invariant's name.
@@ -190,7 +190,7 @@
     pub about: String,
     /// The seed of all random numbers.
     pub seed: u64,
-    /// What made the decisions at the forwarders: the decision module or a baseline.
+    /// The decider of the forwarders: the decision module or a baseline.
     pub decisions: String,
     /// The length of the day in milliseconds.
     pub length: Ms,
--- a/forwarder/emulator/src/rate_limiter.rs
+++ b/forwarder/emulator/src/rate_limiter.rs
@@ -31,7 +31,7 @@
                 self.used = (self.used - calls * (now - self.at) / 1000.0).max(0.0);
                 self.at = now;
                 let fits = self.used + 1.0 <= burst;
-                if fits || limit.refused_count {
+                if fits || limit.counts_rejected_calls {
                     self.used = (self.used + 1.0).min(2.0 * burst);
                 }
                 let admits_at = now + 1000.0 * (self.used + 1.0 - burst).max(0.0) / calls.max(1e-9);
@@ -47,7 +47,7 @@
                     (self.at, self.used) = (window, 0.0);
                 }
                 let fits = self.used + 1.0 <= calls;
-                if fits || limit.refused_count {
+                if fits || limit.counts_rejected_calls {
                     self.used += 1.0;
                 }
                 if fits {
@@ -66,10 +66,10 @@
                 }
                 let fits = (self.recent.len() as f64) + 1.0 <= calls;
                 // Rejected calls are recorded up to the limit only: more would make no difference.
-                if !fits && limit.refused_count {
+                if !fits && limit.counts_rejected_calls {
                     self.recent.pop_front();
                 }
-                if fits || limit.refused_count {
+                if fits || limit.counts_rejected_calls {
                     self.recent.push_back(now);
                 }
                 let first = self.recent.front().copied().unwrap_or(now);
--- a/forwarder/emulator/src/tally.rs
+++ b/forwarder/emulator/src/tally.rs
@@ -118,7 +118,7 @@
         ((at / self.width) as usize).min(STEPS - 1)
     }
 
-    pub fn asked(&mut self, scenario: &Scenario, client_event: &ClientEvent) {
+    pub fn record_event(&mut self, scenario: &Scenario, client_event: &ClientEvent) {
         let payoff = scenario.traffic[client_event.traffic as usize].payoff;
         let step = self.step(client_event.first_at);
         self.totals.events += 1;
--- a/forwarder/emulator/src/world/calls.rs
+++ b/forwarder/emulator/src/world/calls.rs
@@ -122,7 +122,7 @@
             self.now,
         );
         if let Err(admits_at) = admitted {
-            let least = group.limit.tells_wait;
+            let least = group.limit.min_retry_after;
             let wait = if least > 0.0 {
                 least.max(admits_at.unwrap_or(0.0) - self.now)
             } else {
--- a/forwarder/emulator/src/world/connections.rs
+++ b/forwarder/emulator/src/world/connections.rs
@@ -63,7 +63,7 @@
         self.tracks_connections
             || group.connections > 0
             || group.set_up > 0.0
-            || group.reaped_after > 0.0
+            || group.idle_timeout > 0.0
     }
 
     pub(super) fn on_connected(&mut self, key: CallKey) {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Takes the idle connection to the target that was used last. The result says whether the
-    /// target has dropped that connection, which the forwarder does not see.
+    /// Takes the idle connection to the target that was used last. Returns whether the
+    /// target has dropped that connection, which is not visible to the forwarder.
     pub(super) fn take_idle(&mut self, forwarder: u32, target: u32) -> Option<bool> {
         let now = self.now;
         let idle = &mut self.forwarders[forwarder as usize].idle;
@@ -164,7 +164,7 @@
             .push(idle);
         let reaped_after = self
             .group_of(self.targets[target as usize].destination)
-            .reaped_after;
+            .idle_timeout;
         if reaped_after > 0.0 {
             self.queue.put(
                 self.now + reaped_after,
--- a/forwarder/emulator/src/world/destinations.rs
+++ b/forwarder/emulator/src/world/destinations.rs
@@ -21,7 +21,7 @@
     pub lane: u32,
     pub zone: u16,
     /// The target's position among its destination's targets.
-    pub place: u16,
+    pub position: u16,
     pub factor: f64,
     pub busy: u32,
     pub waiting: VecDeque<CallKey>,
@@ -95,21 +95,21 @@
         let first_lane = lanes.len();
         let first_target = targets.len();
         let destination = at as u32;
-        for place in 0..of.targets {
-            if place == 0 || of.routes_apart {
+        for position in 0..of.targets {
+            if position == 0 || of.independent_routes {
                 lanes.push(Lane {
                     destination,
                     ..Lane::default()
                 });
             }
-            let differ = of.answer.differ;
+            let differ = of.answer.target_variation;
             let factor = if differ > 0.0 {
                 between(&mut rng, 1.0 - differ, 1.0 + differ)
             } else {
                 1.0
             };
-            let zone = (at + place) % scenario.network.zones.len();
-            let lane = if of.routes_apart {
+            let zone = (at + position) % scenario.network.zones.len();
+            let lane = if of.independent_routes {
                 lanes.len() - 1
             } else {
                 first_lane
@@ -118,7 +118,7 @@
                 destination,
                 lane as u32,
                 zone as u16,
-                place as u16,
+                position as u16,
                 factor,
             ));
         }
@@ -134,12 +134,12 @@
 }
 
 impl Target {
-    pub fn new(destination: u32, lane: u32, zone: u16, place: u16, factor: f64) -> Self {
+    pub fn new(destination: u32, lane: u32, zone: u16, position: u16, factor: f64) -> Self {
         Target {
             destination,
             lane,
             zone,
-            place,
+            position,
             factor,
             busy: 0,
             waiting: VecDeque::new(),
@@ -200,7 +200,7 @@
         fault_effects
     }
 
-    /// Whether the fault, which strikes the target's destination, strikes the target.
+    /// Whether a fault that affects the target's destination affects the target too.
     pub(super) fn covers(&self, fault: u16, target: u32) -> bool {
         let scope = &self.scenario.faults[fault as usize].scope;
         let target_state = &self.targets[target as usize];
@@ -211,7 +211,7 @@
         let all = self.group_of(target_state.destination).targets as f64;
         zone && scope
             .targets
-            .is_none_or(|share| (target_state.place as f64) < (share * all).ceil())
+            .is_none_or(|share| (target_state.position as f64) < (share * all).ceil())
     }
 
     /// Calls per second that a target serves when it is warmed up and healthy.
--- a/forwarder/emulator/src/world/endpoint_list.rs
+++ b/forwarder/emulator/src/world/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as each forwarder knows it.
+//! The endpoint list as received by each forwarder.
 
 use plankhill_decisions::interface::EndpointState;
 use plankhill_invariants::Observation;
@@ -87,7 +87,7 @@
 
     /// The forwarder receives all new changes, or some of them and the others with the next update.
     pub(super) fn receive_list_update(&mut self, forwarder_id: u32) {
-        let partial = self.scenario.forwarders.list_partial;
+        let partial = self.scenario.forwarders.list_omitted_share;
         let it = &mut self.forwarders[forwarder_id as usize];
         if it.list_frozen_until > self.now {
             let unfrozen_at = it.list_frozen_until;
--- a/forwarder/emulator/src/world/faults.rs
+++ b/forwarder/emulator/src/world/faults.rs
@@ -30,12 +30,12 @@
             | FaultKind::ForwarderLost
             | FaultKind::ForwarderStalled
             | FaultKind::ForwarderReplaced => {
-                for (place, forwarder) in self.affected.forwarders[fault_id as usize]
+                for (position, forwarder) in self.affected.forwarders[fault_id as usize]
                     .iter()
                     .enumerate()
                 {
-                    let when = fault.start + place as f64 * fault.apart;
-                    if place == 0 || when <= end {
+                    let when = fault.start + position as f64 * fault.apart;
+                    if position == 0 || when <= end {
                         self.queue
                             .put(when, Step::ApplyForwarderFault(fault_id, *forwarder));
                     }
@@ -57,9 +57,9 @@
             FaultKind::Replaced => {
                 let targets = self.affected_targets(fault_id);
                 let step = fault.length / targets.len().max(1) as f64;
-                for (place, target) in targets.into_iter().enumerate() {
+                for (position, target) in targets.into_iter().enumerate() {
                     self.queue.put(
-                        self.now + place as f64 * step,
+                        self.now + position as f64 * step,
                         Step::ReplaceOne(fault_id, target),
                     );
                 }
@@ -165,7 +165,7 @@
         self.reset_calls(self.targets[target as usize].destination);
     }
 
-    /// Lets a target drain and lists a new one in its place at the same time. A target that is still
+    /// Lets a target drain and lists a new one in its position at the same time. A target that is still
     /// draining after the notice period is removed.
     pub(super) fn replace_one(&mut self, fault_id: u16, target: u32) {
         match self.targets[target as usize].listing {
@@ -175,7 +175,7 @@
                     target_state.destination,
                     target_state.lane,
                     target_state.zone,
-                    target_state.place,
+                    target_state.position,
                     target_state.factor,
                 );
                 let destination = target_state.destination as usize;
@@ -185,7 +185,7 @@
                     .borrow_mut()
                     .push(TargetId(number.to_string().into()));
                 self.destinations[destination].targets.push(number);
-                // Forwarders that have not received this change do not know the target.
+                // The target is unlisted for the forwarders that have not received this change.
                 self.targets[number as usize]
                     .introduced
                     .push((0, EndpointState::Removed));
--- a/forwarder/emulator/src/world/iterations.rs
+++ b/forwarder/emulator/src/world/iterations.rs
@@ -26,7 +26,7 @@
         forwarder.iteration_scheduled = true;
         let from = self
             .now
-            .max(forwarder.last_iteration + self.scenario.forwarders.round)
+            .max(forwarder.last_iteration + self.scenario.forwarders.min_iteration_interval)
             .max(forwarder.stalled_until);
         self.queue.put(from, Step::Iteration(forwarder_id));
     }
@@ -75,7 +75,7 @@
             .decider
             .take()
             .expect("it runs");
-        decider.round(self.now, &inputs, &mut decisions);
+        decider.iterate(self.now, &inputs, &mut decisions);
         self.forwarders[forwarder_id as usize].decider = Some(decider);
         let mut next = 0;
         while next < decisions.len() {
@@ -85,7 +85,7 @@
         if forwarder.closing.is_some_and(|(since, _)| {
             forwarder.pending_events == 0 && self.now >= since + MIN_SHUTDOWN_DURATION
         }) {
-            self.end_process(forwarder_id, self.scenario.forwarders.restart, true);
+            self.end_process(forwarder_id, self.scenario.forwarders.restart_delay, true);
         }
     }
 
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -83,7 +83,7 @@
         let rules = &scenario.rules;
         let bounds = Bounds {
             drain_grace: rules.grace,
-            key_cooldown: rules.key_rest,
+            key_cooldown: rules.key_cooldown,
             effects_remembered_for: 2.0 * scenario.longest_patience() + 120_000.0,
             ..Bounds::default()
         };
@@ -212,7 +212,7 @@
         if let Some(next) = &self.next_arrival {
             self.queue.put(next.first_at, Step::Arrival);
         }
-        self.tally.asked(self.scenario, &client_event);
+        self.tally.record_event(self.scenario, &client_event);
         self.submit(client_event);
     }
 
@@ -248,7 +248,7 @@
 
 fn latencies(scenario: &Scenario) -> Vec<Vec<Ms>> {
     let network = &scenario.network;
-    let place = |name: &str| {
+    let zone_index = |name: &str| {
         network
             .zones
             .iter()
@@ -260,7 +260,7 @@
         row[zone] = network.within;
     }
     for pair in &network.pairs {
-        all[place(&pair.from)][place(&pair.to)] = pair.latency;
+        all[zone_index(&pair.from)][zone_index(&pair.to)] = pair.latency;
     }
     all
 }
--- a/forwarder/emulator/src/world/process_start.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -54,7 +54,7 @@
             ordered: of.ordered,
         });
         let kinds = scenario.destinations.iter().map(|group| DestinationKind {
-            independent_routes: group.routes_apart,
+            independent_routes: group.independent_routes,
             max_events_per_call: group.events_per_call,
         });
         let config = DecisionConfig {
@@ -63,17 +63,17 @@
             forwarder_count: scenario.forwarders.count as f64,
             traffic_types: traffic.collect(),
             destination_kinds: kinds.collect(),
-            max_calls_in_flight: scenario.forwarders.slots,
-            event_capacity: scenario.forwarders.room,
-            max_attempts: rules.sends_cap,
-            health_checks_allowed: rules.pings,
+            max_calls_in_flight: scenario.forwarders.max_calls_in_flight,
+            event_capacity: scenario.forwarders.event_capacity,
+            max_attempts: rules.max_attempts,
+            health_checks_allowed: rules.health_checks,
             member_quotas: Vec::new(),
             over_quota_value_weight: 1.0,
-            max_retry_after: rules.longest_advice,
-            warm_up_initial_share: rules.cold_share,
-            warm_up_duration: rules.warm_after,
-            overload_multiple: rules.tip_multiple,
-            key_cooldown: rules.key_rest,
+            max_retry_after: rules.max_retry_after,
+            warm_up_initial_share: rules.warm_up_initial_share,
+            warm_up_duration: rules.warm_up_duration,
+            overload_multiple: rules.overload_multiple,
+            key_cooldown: rules.key_cooldown,
             tuning: names::Tuning::default(),
         };
         let of = &scenario.forwarders;
@@ -129,7 +129,7 @@
             if pending.ended {
                 inputs.push(Input::CompletionRestored { event });
                 self.queue.put(
-                    self.now + self.scenario.forwarders.notice,
+                    self.now + self.scenario.forwarders.notification_delay,
                     Step::CompletionAcknowledged(forwarder_id, incarnation, event),
                 );
             }
@@ -140,7 +140,7 @@
         cold.sort_unstable_by_key(|(target, _)| *target);
         for (target, (since, usual)) in cold {
             let destination = self.targets[target as usize].destination;
-            if self.now - since < self.scenario.rules.warm_after {
+            if self.now - since < self.scenario.rules.warm_up_duration {
                 self.introduce_destination(forwarder_id, destination, &mut inputs);
                 inputs.push(Input::WarmUpRestored {
                     target,
--- a/forwarder/emulator/src/world/processes.rs
+++ b/forwarder/emulator/src/world/processes.rs
@@ -46,7 +46,7 @@
         if forwarder.decider.is_none() || forwarder.closing.is_some() {
             return;
         }
-        let ends = self.now + self.scenario.forwarders.closing;
+        let ends = self.now + self.scenario.forwarders.shutdown_timeout;
         forwarder.closing = Some((self.now, ends));
         let incarnation = forwarder.incarnation;
         self.incoming(forwarder_id, Input::ShutdownBegan { ends }, None);
@@ -60,7 +60,7 @@
 
     pub(super) fn end_incarnation(&mut self, forwarder_id: u32, incarnation: u32) {
         if self.forwarders[forwarder_id as usize].incarnation == incarnation {
-            self.end_process(forwarder_id, self.scenario.forwarders.restart, true);
+            self.end_process(forwarder_id, self.scenario.forwarders.restart_delay, true);
         }
     }
 
@@ -197,7 +197,7 @@
             }
             let again = exponential(
                 &mut self.rng_resubmissions,
-                self.scenario.clients.again_after,
+                self.scenario.clients.retry_pause,
             );
             self.resubmit_later(client_event, again);
         }
--- a/forwarder/emulator/src/world/state.rs
+++ b/forwarder/emulator/src/world/state.rs
@@ -49,7 +49,7 @@
     pub missed: Vec<u32>,
     pub list_update_scheduled: bool,
     pub list_frozen_until: Ms,
-    /// Destinations that the decider knows.
+    /// Destinations that were introduced to the decider.
     pub introduced: FxHashSet<u32>,
     pub pending_events: usize,
     pub idle: FxHashMap<u32, Vec<IdleConnection>>,
--- a/forwarder/emulator/src/world/step.rs
+++ b/forwarder/emulator/src/world/step.rs
@@ -66,7 +66,7 @@
             Step::FaultBegins(fault) => self.begin_fault(fault),
             Step::FaultToggles(fault) => self.toggle_fault(fault),
             Step::FaultEnds(fault) => self.end_fault(fault),
-            Step::ReplaceOne(fault, place) => self.replace_one(fault, place),
+            Step::ReplaceOne(fault, target) => self.replace_one(fault, target),
             Step::RemoveDraining(fault) => self.remove_drained_targets(fault),
             Step::ApplyForwarderFault(fault, at) => self.apply_forwarder_fault(fault, at),
             Step::StallEnds(at, incarnation) => self.end_stall(at, incarnation),
--- a/forwarder/emulator/src/world/submissions.rs
+++ b/forwarder/emulator/src/world/submissions.rs
@@ -25,7 +25,7 @@
             Some(key) => (key.wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 33) as usize % count,
             None => (uniform(&mut self.rng_resubmissions) * count as f64) as usize,
         };
-        let lag = self.scenario.forwarders.front_lag;
+        let lag = self.scenario.forwarders.routing_lag;
         let believed = |at: &usize| {
             let forwarder = &self.forwarders[*at];
             forwarder.closing.is_none()
@@ -58,12 +58,12 @@
         let named = targets.iter().any(|target| {
             self.targets[*target as usize].as_of(known_changes) != EndpointState::Removed
         });
-        let full =
-            self.forwarders[forwarder_id as usize].pending_events >= self.scenario.forwarders.room;
+        let full = self.forwarders[forwarder_id as usize].pending_events
+            >= self.scenario.forwarders.event_capacity;
         if full || !named || client_event.deadline - self.now < MIN_TIME_TO_DEADLINE {
             client_event.cause = LossCause::NoRoom;
             self.tally.totals.dismissed += 1;
-            return self.on_rejected(client_event, self.scenario.rules.longest_advice);
+            return self.on_rejected(client_event, self.scenario.rules.max_retry_after);
         }
         self.taken += 1;
         let number = self.taken;
@@ -111,7 +111,7 @@
     pub(super) fn on_no_forwarder(&mut self, mut client_event: ClientEvent) {
         let again = exponential(
             &mut self.rng_resubmissions,
-            self.scenario.clients.again_after,
+            self.scenario.clients.retry_pause,
         );
         client_event.cause = LossCause::NoForwarder;
         self.resubmit_later(client_event, again);
@@ -132,19 +132,19 @@
         let of = &self.scenario.clients;
         let in_storm = self.retry_storm_factor > 0.0;
         let most = if in_storm {
-            (of.returns as f64 * self.retry_storm_factor).ceil() as u32
+            (of.max_resubmissions as f64 * self.retry_storm_factor).ceil() as u32
         } else {
-            of.returns
+            of.max_resubmissions
         };
-        if client_event.returns >= most {
+        if client_event.resubmissions >= most {
             let cause = client_event.cause;
             return self.tally.record_loss(self.scenario, &client_event, cause);
         }
-        client_event.returns += 1;
+        client_event.resubmissions += 1;
         let pause = match retry_after {
             _ if in_storm => exponential(&mut self.rng_resubmissions, RETRY_STORM_PAUSE),
             Some(advice) => advice * between(&mut self.rng_resubmissions, 1.0, 1.25),
-            None => exponential(&mut self.rng_resubmissions, of.pause),
+            None => exponential(&mut self.rng_resubmissions, of.resubmission_pause),
         };
         self.resubmit_later(client_event, pause);
     }
@@ -209,7 +209,7 @@
             self.events[key].unacknowledged = Some((dismissed, retry_after));
             let incarnation = self.forwarders[forwarder_id as usize].incarnation;
             return self.queue.put(
-                self.now + self.scenario.forwarders.notice,
+                self.now + self.scenario.forwarders.notification_delay,
                 Step::CompletionAcknowledged(forwarder_id, incarnation, key),
             );
         }
--- a/forwarder/emulator/src/world/warm_up.rs
+++ b/forwarder/emulator/src/world/warm_up.rs
@@ -17,8 +17,8 @@
         let Some(cold) = &self.lanes[lane as usize].cold else {
             return 1.0;
         };
-        let progress = ((self.now - cold.since) / rules.warm_after).clamp(0.0, 1.0);
-        rules.cold_share + (1.0 - rules.cold_share) * progress
+        let progress = ((self.now - cold.since) / rules.warm_up_duration).clamp(0.0, 1.0);
+        rules.warm_up_initial_share + (1.0 - rules.warm_up_initial_share) * progress
     }
 
     /// Adds the load of a call or health check to a lane. A lane that is warming up may be overloaded
@@ -36,18 +36,19 @@
         while cold
             .recent
             .front()
-            .is_some_and(|(at, ..)| *at <= self.now - rules.tip_span)
+            .is_some_and(|(at, ..)| *at <= self.now - rules.overload_window)
         {
             cold.recent.pop_front();
         }
         let sum: f64 = cold.recent.iter().map(|(.., weight)| weight).sum();
-        if sum < rules.tip_least {
+        if sum < rules.overload_min_load {
             return;
         }
         let of = self.lanes[lane as usize].destination;
-        let limited = self.group_of(of).limit.bears_cold;
+        let limited = self.group_of(of).limit.bounds_warm_up;
         let max_load =
-            rules.tip_multiple * self.lane_capacity(lane, limited) * rules.tip_span / 1000.0;
+            rules.overload_multiple * self.lane_capacity(lane, limited) * rules.overload_window
+                / 1000.0;
         let share = if max_load > 0.0 {
             sum / max_load
         } else {
@@ -66,7 +67,7 @@
             .cold
             .take()
             .expect("only a lane that is warming up can be overloaded");
-        lane_state.overloaded_until = self.now + self.scenario.rules.tipped;
+        lane_state.overloaded_until = self.now + self.scenario.rules.overload_duration;
         lane_state.outage = true;
         let until = lane_state.overloaded_until;
         let of = lane_state.destination;
@@ -116,7 +117,7 @@
                     recent: VecDeque::new(),
                 }));
                 self.queue.put(
-                    self.now + self.scenario.rules.warm_after,
+                    self.now + self.scenario.rules.warm_up_duration,
                     Step::WarmedUp(lane, self.now),
                 );
             }
--- a/forwarder/emulator/tests/days.rs
+++ b/forwarder/emulator/tests/days.rs
@@ -70,7 +70,8 @@
         prop_assert!((outcome.totals.asked - outcome.totals.paid - lost).abs() < 1e-6 * outcome.totals.asked.max(1.0),
             "asked {} paid {} lost {lost}", outcome.totals.asked, outcome.totals.paid);
         prop_assert!(outcome.rules.iter().find(|rule| rule.rule.starts_with("one end")).unwrap().broken == 0, "{:?}", outcome.breaches);
-        // The module violates only invariants that depend on what no forwarder can know (see docs/emulator.md).
+        // The module violates only invariants that depend on information unavailable to any forwarder (see
+        // docs/emulator.md).
         if decisions == "module" {
             let violations = |rule: &str| outcome.rules.iter().find(|known| known.rule == rule).unwrap().broken;
             for rule in ["drains kept", "key order", "waits heeded"] {
--- a/forwarder/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -87,20 +87,20 @@
     let (totals, outcome) = (&record.outcome.totals, &record.outcome);
     let calls = totals.calls.max(1) as f64;
     match measure {
-        Measure::ColdLoad => totals.cold_load,
-        Measure::Tipped => totals.tipped as f64,
+        Measure::WarmUpLoad => totals.cold_load,
+        Measure::Overloads => totals.tipped as f64,
         Measure::CallsPerEvent => totals.calls as f64 / totals.events.max(1) as f64,
-        Measure::RoundsPerEvent => totals.rounds as f64 / totals.events.max(1) as f64,
-        Measure::RefusedShare => totals.refused_calls as f64 / calls,
+        Measure::IterationsPerEvent => totals.rounds as f64 / totals.events.max(1) as f64,
+        Measure::RejectedShare => totals.refused_calls as f64 / calls,
         Measure::FailedShare => totals.failed_calls as f64 / calls,
-        Measure::MostHeld => totals.most_held as f64,
+        Measure::PeakPendingEvents => totals.most_held as f64,
         Measure::LateShare => {
             let late = outcome
                 .causes
                 .get(&plankhill_emulator::outcome::LossCause::Late);
             late.copied().unwrap_or(0.0) / totals.asked.max(1e-9)
         }
-        Measure::Rules => outcome.broken() as f64,
+        Measure::InvariantViolations => outcome.broken() as f64,
     }
 }
 
--- a/forwarder/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! A report page for readers who do not know these experiments: the question, the results, and charts with a
+//! A report page that requires no knowledge of these experiments: the question, the results, and charts with a
 //! sentence each on how to read them. The page is self-contained: no script, no other file.
 
 use std::collections::BTreeMap;
