--- a/forwarder/config/src/scenario/check.rs
+++ b/forwarder/config/src/scenario/check.rs
@@ -1,4 +1,4 @@
-//! What a scenario must hold beyond its types. A fault is a key and what is allowed there.
+//! Checks of a scenario's values, beyond their types. An error is a key and a description of what is allowed there.
 
 use super::*;
 
@@ -9,8 +9,8 @@
         return Ok(());
     }
     let allowed = match most == f64::MAX {
-        true => format!("{value} is not allowed, {least} or more is"),
-        false => format!("{value} is not allowed, {least} to {most} is"),
+        true => format!("{value} is not allowed; must be {least} or more"),
+        false => format!("{value} is not allowed; must be {least} to {most}"),
     };
     Err((key.to_owned(), allowed))
 }
@@ -45,7 +45,7 @@
     if scenario.traffic.is_empty() {
         return Err((
             "traffic".into(),
-            "one [[traffic]] at least is needed".into(),
+            "at least one [[traffic]] is required".into(),
         ));
     }
     for (at, traffic) in scenario.traffic.iter().enumerate() {
@@ -68,7 +68,7 @@
     if scenario.destinations.is_empty() {
         return Err((
             "destinations".into(),
-            "one [[destinations]] at least is needed".into(),
+            "at least one [[destinations]] is required".into(),
         ));
     }
     for (at, group) in scenario.destinations.iter().enumerate() {
@@ -86,8 +86,8 @@
             "no destination gets any traffic".into(),
         ));
     }
-    for (at, trouble) in scenario.faults.iter().enumerate() {
-        check_trouble(&format!("troubles[{at}]"), trouble, scenario)?;
+    for (at, fault) in scenario.faults.iter().enumerate() {
+        check_fault(&format!("troubles[{at}]"), fault, scenario)?;
     }
     memory(scenario)
 }
@@ -95,42 +95,45 @@
 fn forwarders(of: &Forwarders) -> Checked {
     within("forwarders.count", of.count as f64, 1.0, 100_000.0)?;
     least("forwarders.time_out", of.time_out, 1.0)?;
-    least("forwarders.slots", of.slots as f64, 1.0)?;
-    least("forwarders.room", of.room as f64, 1.0)?;
-    least("forwarders.round", of.round, 0.0)?;
-    least("forwarders.notice", of.notice, 0.0)?;
+    least("forwarders.slots", of.max_calls_in_flight as f64, 1.0)?;
+    least("forwarders.room", of.event_capacity as f64, 1.0)?;
+    least("forwarders.round", of.min_iteration_interval, 0.0)?;
+    least("forwarders.notice", of.notification_delay, 0.0)?;
     least("forwarders.list_delay[0]", of.list_delay[0], 0.0)?;
     least(
         "forwarders.list_delay[1]",
         of.list_delay[1],
         of.list_delay[0],
     )?;
-    within("forwarders.list_partial", of.list_partial, 0.0, 0.95)?;
-    least("forwarders.front_lag", of.front_lag, 0.0)?;
-    least("forwarders.restart", of.restart, 0.0)?;
-    least("forwarders.closing", of.closing, 0.0)
+    within("forwarders.list_partial", of.list_omitted_share, 0.0, 0.95)?;
+    least("forwarders.front_lag", of.routing_lag, 0.0)?;
+    least("forwarders.restart", of.restart_delay, 0.0)?;
+    least("forwarders.closing", of.shutdown_timeout, 0.0)
 }
 
 fn rules(of: &Rules) -> Checked {
-    least("rules.sends_cap", of.sends_cap as f64, 1.0)?;
+    least("rules.sends_cap", of.max_attempts as f64, 1.0)?;
     least(
         "rules.longest_advice",
-        of.longest_advice.unwrap_or(0.0),
+        of.max_retry_after.unwrap_or(0.0),
         0.0,
     )?;
     least("rules.grace", of.grace, 0.0)?;
-    least("rules.key_rest", of.key_rest, 0.0)?;
-    within("rules.cold_share", of.cold_share, 0.01, 1.0)?;
-    least("rules.warm_after", of.warm_after, 1.0)?;
-    least("rules.tip_multiple", of.tip_multiple, 0.1)?;
-    least("rules.tip_span", of.tip_span, 1.0)?;
-    least("rules.tip_least", of.tip_least, 0.0)?;
-    least("rules.tipped", of.tipped, 1.0)
+    least("rules.key_rest", of.key_cooldown, 0.0)?;
+    within("rules.cold_share", of.warm_up_initial_share, 0.01, 1.0)?;
+    least("rules.warm_after", of.warm_up_duration, 1.0)?;
+    least("rules.tip_multiple", of.overload_multiple, 0.1)?;
+    least("rules.tip_span", of.overload_window, 1.0)?;
+    least("rules.tip_least", of.overload_min_load, 0.0)?;
+    least("rules.tipped", of.overload_duration, 1.0)
 }
 
 fn network(of: &Network) -> Checked {
     if of.zones.is_empty() {
-        return Err(("network.zones".into(), "one zone at least is needed".into()));
+        return Err((
+            "network.zones".into(),
+            "at least one zone is required".into(),
+        ));
     }
     least("network.within", of.within, 0.0)?;
     least("network.between", of.between, 0.0)?;
@@ -148,15 +151,15 @@
 fn clients(of: &Clients) -> Checked {
     least("clients.rate", of.rate, 0.0)?;
     within("clients.zipf", of.zipf, 0.0, 10.0)?;
-    share("clients.clumps", of.clumps)?;
-    least("clients.clump_size", of.clump_size, 1.0)?;
-    share("clients.swing", of.swing)?;
+    share("clients.clumps", of.burst_share)?;
+    least("clients.clump_size", of.burst_size, 1.0)?;
+    share("clients.swing", of.rate_variation)?;
     least("clients.day", of.day, 1.0)?;
     least("clients.keys", of.keys as f64, 1.0)?;
     within("clients.key_zipf", of.key_zipf, 0.0, 10.0)?;
     least("clients.tenants", of.tenants as f64, 1.0)?;
-    least("clients.pause", of.pause, 1.0)?;
-    least("clients.again_after", of.again_after, 1.0)
+    least("clients.pause", of.resubmission_pause, 1.0)?;
+    least("clients.again_after", of.retry_pause, 1.0)
 }
 
 fn destinations(at: &str, group: &Group) -> Checked {
@@ -167,43 +170,48 @@
     least(&key("events_per_call"), group.events_per_call as f64, 1.0)?;
     within(&key("servers"), group.servers as f64, 1.0, 1e6)?;
     least(&key("set_up"), group.set_up, 0.0)?;
-    least(&key("reaped_after"), group.reaped_after, 0.0)?;
+    least(&key("reaped_after"), group.idle_timeout, 0.0)?;
     least(&key("answer.mean"), group.answer.mean, 0.001)?;
     within(&key("answer.spread"), group.answer.spread, 0.0, 5.0)?;
     share(&key("answer.tail"), group.answer.tail)?;
     within(&key("answer.alpha"), group.answer.alpha, 1.01, 10.0)?;
-    within(&key("answer.differ"), group.answer.differ, 0.0, 0.9)?;
+    within(
+        &key("answer.differ"),
+        group.answer.target_variation,
+        0.0,
+        0.9,
+    )?;
     least(&key("limit.calls"), group.limit.calls, 0.0)?;
     least(&key("limit.burst"), group.limit.burst, 1.0)?;
     least(&key("limit.window"), group.limit.window, 1.0)?;
-    least(&key("limit.tells_wait"), group.limit.tells_wait, 0.0)
+    least(&key("limit.tells_wait"), group.limit.min_retry_after, 0.0)
 }
 
-fn check_trouble(at: &str, trouble: &Fault, scenario: &Scenario) -> Checked {
+fn check_fault(at: &str, fault: &Fault, scenario: &Scenario) -> Checked {
     use FaultKind::*;
     let key = |field: &str| format!("{at}.{field}");
-    least(&key("start"), trouble.start, 0.0)?;
-    least(&key("length"), trouble.length, 0.0)?;
-    least(&key("every"), trouble.every, 1.0)?;
-    least(&key("apart"), trouble.apart, 0.0)?;
-    match trouble.kind {
-        Erring | Resetting | CutOneWay => share(&key("strength"), trouble.strength)?,
-        Slow => least(&key("strength"), trouble.strength, 0.01)?,
-        _ => within(&key("strength"), trouble.strength, 0.0, 1e6)?,
+    least(&key("start"), fault.start, 0.0)?;
+    least(&key("length"), fault.length, 0.0)?;
+    least(&key("every"), fault.every, 1.0)?;
+    least(&key("apart"), fault.apart, 0.0)?;
+    match fault.kind {
+        Erring | Resetting | CutOneWay => share(&key("strength"), fault.strength)?,
+        Slow => least(&key("strength"), fault.strength, 0.01)?,
+        _ => within(&key("strength"), fault.strength, 0.0, 1e6)?,
     }
-    let whom = &trouble.whom;
+    let scope = &fault.scope;
     let shares = [
-        ("share_of_traffic", whom.share_of_traffic),
-        ("at_random", whom.at_random),
-        ("targets", whom.targets),
+        ("share_of_traffic", scope.share_of_traffic),
+        ("at_random", scope.at_random),
+        ("targets", scope.targets),
     ];
     for (field, value) in shares {
         share(&key(&format!("whom.{field}")), value.unwrap_or(0.0))?;
     }
-    if let Some(zone) = &whom.zone {
+    if let Some(zone) = &scope.zone {
         named(&key("whom.zone"), zone, &scenario.network.zones)?;
     }
-    if let Some(group) = &whom.group {
+    if let Some(group) = &scope.group {
         let names: Vec<String> = scenario
             .destinations
             .iter()
@@ -211,29 +219,29 @@
             .collect();
         named(&key("whom.group"), group, &names)?;
     }
-    if let Some(tenant) = whom
+    if let Some(tenant) = scope
         .tenant
         .filter(|tenant| *tenant >= scenario.clients.tenants)
     {
         let most = scenario.clients.tenants - 1;
         return Err((
             key("whom.tenant"),
-            format!("{tenant} is not allowed, 0 to {most} is (clients.tenants)"),
+            format!("{tenant} is not allowed; must be 0 to {most} (clients.tenants)"),
         ));
     }
     Ok(())
 }
 
-/// What a held event takes, about, in bytes, with its share of the model and the forwarder's memory. An estimate:
-/// `docs/emulator.md` has what was measured since, which is up to half more.
-const EVENT: f64 = 700.0;
-/// What a destination and a target take beside the forwarders, and what a forwarder keeps of them.
+/// Estimated bytes for a pending event, including its share of the model's and the forwarder's memory. The
+/// measurements in `docs/emulator.md`, made since, are up to half higher.
+const PENDING_EVENT: f64 = 700.0;
+/// Bytes for a destination and a target in the model, and for each forwarder that has them listed.
 const DESTINATION: f64 = 400.0;
 const TARGET: f64 = 200.0;
 const LISTED_DESTINATION: f64 = 1500.0;
 const LISTED_TARGET: f64 = 250.0;
-/// A key line in the module and the checker.
-const KEY: f64 = 150.0;
+/// Bytes for the queue of an order key in the module and the checker.
+const KEY_QUEUE: f64 = 150.0;
 
 fn memory(scenario: &Scenario) -> Checked {
     let (forwarders, clients) = (&scenario.forwarders, &scenario.clients);
@@ -254,23 +262,26 @@
         .iter()
         .map(|g| (g.count * g.targets) as f64)
         .sum();
-    let rate = clients.rate * (1.0 + clients.swing) * (1.0 + floods.sum::<f64>());
-    let clump = 1.0 + clients.clumps * (clients.clump_size - 1.0);
+    let rate = clients.rate * (1.0 + clients.rate_variation) * (1.0 + floods.sum::<f64>());
+    let clump = 1.0 + clients.burst_share * (clients.burst_size - 1.0);
     let woken: f64 = wakes.sum::<f64>() * destinations;
-    // All that could be waiting at once: the whole patience's traffic, or the whole day's if that is less.
+    // Upper bound of the events pending at once: the traffic of the longest patience, or of the complete day if
+    // that is shorter.
     let waiting = rate * clump * longest.min(scenario.length) / 1000.0 + woken;
-    // What a forwarder has no room for waits at its client.
-    let events = waiting * EVENT;
-    // A forwarder is told of a destination when the first event goes there.
-    let handed_in = rate * clump * scenario.length / 1000.0 + woken;
-    let told = destinations.min(handed_in / forwarders.count as f64) * forwarders.count as f64;
-    let listed = told * (LISTED_DESTINATION + LISTED_TARGET * targets / destinations.max(1.0));
-    let keys = (clients.keys as f64).min(waiting) * KEY;
+    // Events that exceed a forwarder's capacity wait at their client.
+    let events = waiting * PENDING_EVENT;
+    // A destination is introduced to a forwarder with the first event for that destination.
+    let submitted = rate * clump * scenario.length / 1000.0 + woken;
+    let introduced =
+        destinations.min(submitted / forwarders.count as f64) * forwarders.count as f64;
+    let listed =
+        introduced * (LISTED_DESTINATION + LISTED_TARGET * targets / destinations.max(1.0));
+    let keys = (clients.keys as f64).min(waiting) * KEY_QUEUE;
     let need =
         (events + listed + keys + destinations * DESTINATION + targets * TARGET) / 1e6 + 10.0;
     if need <= scenario.memory_mb {
         return Ok(());
     }
     let most = scenario.memory_mb;
-    Err(("memory_mb".into(), format!("the day may need {need:.0} MB ({waiting:.0} events waiting, {told:.0} destinations told), {most:.0} are allowed")))
+    Err(("memory_mb".into(), format!("the day may need {need:.0} MB ({waiting:.0} pending events, {introduced:.0} destinations introduced to forwarders); the limit is {most:.0} MB")))
 }
--- a/forwarder/emulator/src/world/process_start.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -1,8 +1,8 @@
-//! A forwarder starts: the configuration of its decider, the endpoint list, and the pending events
+//! Starts a forwarder: the configuration of its decider, the endpoint list, and the pending events
 //! of its log.
 
 use plankhill_decisions::interface::{self as names, DecisionConfig, DestinationKind, TrafficType};
-use plankhill_forwarder_config::scenario::Repeats;
+use plankhill_forwarder_config::scenario::Idempotency;
 use plankhill_invariants::Observation;
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -24,7 +24,7 @@
             stalled_until: 0.0,
             died_at: None,
             closing: None,
-            heard: 0,
+            known_changes: 0,
             missed: Vec::new(),
             list_update_scheduled: false,
             list_frozen_until: 0.0,
@@ -40,9 +40,9 @@
         let rules = &self.scenario.rules;
         let traffic = scenario.traffic.iter().map(|of| TrafficType {
             idempotency: match of.effect {
-                Repeats::Retriable => names::Idempotency::Idempotent,
-                Repeats::Binding => names::Idempotency::NonIdempotent,
-                Repeats::Fingerprinted => names::Idempotency::Deduplicated {
+                Idempotency::Idempotent => names::Idempotency::Idempotent,
+                Idempotency::NonIdempotent => names::Idempotency::NonIdempotent,
+                Idempotency::Deduplicated => names::Idempotency::Deduplicated {
                     window: of.window,
                     per_zone: of.one_zone,
                 },
@@ -54,7 +54,7 @@
             ordered: of.ordered,
         });
         let kinds = scenario.destinations.iter().map(|group| DestinationKind {
-            independent_routes: group.routes_apart,
+            independent_routes: group.independent_routes,
             max_events_per_call: group.events_per_call,
         });
         let config = DecisionConfig {
@@ -63,25 +63,25 @@
             forwarder_count: scenario.forwarders.count as f64,
             traffic_types: traffic.collect(),
             destination_kinds: kinds.collect(),
-            max_calls_in_flight: scenario.forwarders.slots,
-            event_capacity: scenario.forwarders.room,
-            max_attempts: rules.sends_cap,
-            health_checks_allowed: rules.pings,
+            max_calls_in_flight: scenario.forwarders.max_calls_in_flight,
+            event_capacity: scenario.forwarders.event_capacity,
+            max_attempts: rules.max_attempts,
+            health_checks_allowed: rules.health_checks,
             member_quotas: Vec::new(),
             over_quota_value_weight: 1.0,
-            max_retry_after: rules.longest_advice,
-            warm_up_initial_share: rules.cold_share,
-            warm_up_duration: rules.warm_after,
-            overload_multiple: rules.tip_multiple,
-            key_cooldown: rules.key_rest,
+            max_retry_after: rules.max_retry_after,
+            warm_up_initial_share: rules.warm_up_initial_share,
+            warm_up_duration: rules.warm_up_duration,
+            overload_multiple: rules.overload_multiple,
+            key_cooldown: rules.key_cooldown,
             tuning: names::Tuning::default(),
         };
         let of = &scenario.forwarders;
         deciders::start(of.decisions, config, of.time_out, &self.names, self.now)
     }
 
-    /// A new process: the present endpoint list, then all pending events in the order of
-    /// acceptance.
+    /// Starts a new process. Its decider receives the present endpoint list, then all pending events in
+    /// the order of acceptance.
     pub(super) fn start_process(&mut self, forwarder_id: u32) {
         let incarnation = self.forwarders[forwarder_id as usize].incarnation;
         self.observe(Observation::Resumed {
@@ -91,7 +91,7 @@
         let decider = self.start_decider(forwarder_id, incarnation);
         let it = &mut self.forwarders[forwarder_id as usize];
         (it.decider, it.died_at, it.stalled_until) = (Some(decider), None, 0.0);
-        (it.heard, it.last_iteration) = (self.changes.len(), self.now);
+        (it.known_changes, it.last_iteration) = (self.changes.len(), self.now);
         it.missed.clear();
         let owed = self
             .events
@@ -103,11 +103,11 @@
         for (_, event) in owed {
             let destination = self.events[event].client_event.destination;
             self.introduce_destination(forwarder_id, destination, &mut inputs);
-            let held = &mut self.events[event];
-            let was_out = held.out.take().is_some();
-            let traffic = held.client_event.traffic as usize;
-            let deadline = held.client_event.deadline;
-            let key = held.client_event.key;
+            let pending = &mut self.events[event];
+            let was_out = pending.out.take().is_some();
+            let traffic = pending.client_event.traffic as usize;
+            let deadline = pending.client_event.deadline;
+            let key = pending.client_event.key;
             inputs.push(Input::Accepted {
                 event,
                 destination,
@@ -116,8 +116,8 @@
                 key,
                 again: true,
             });
-            let attempts = held.attempts;
-            let may_have_run = held.may_have_run;
+            let attempts = pending.attempts;
+            let may_have_run = pending.may_have_run;
             if attempts > 0 {
                 inputs.push(Input::AttemptsRestored {
                     event,
@@ -126,10 +126,10 @@
                     was_out,
                 });
             }
-            if held.ended {
+            if pending.ended {
                 inputs.push(Input::CompletionRestored { event });
                 self.queue.put(
-                    self.now + self.scenario.forwarders.notice,
+                    self.now + self.scenario.forwarders.notification_delay,
                     Step::CompletionAcknowledged(forwarder_id, incarnation, event),
                 );
             }
@@ -140,7 +140,7 @@
         cold.sort_unstable_by_key(|(target, _)| *target);
         for (target, (since, usual)) in cold {
             let destination = self.targets[target as usize].destination;
-            if self.now - since < self.scenario.rules.warm_after {
+            if self.now - since < self.scenario.rules.warm_up_duration {
                 self.introduce_destination(forwarder_id, destination, &mut inputs);
                 inputs.push(Input::WarmUpRestored {
                     target,
