--- a/tier/proxy/src/admission.rs
+++ b/tier/proxy/src/admission.rs
@@ -21,9 +21,10 @@
 use crate::target_pool::TargetPool;
 use crate::wake_up::WakeUp;
 
-/// A request that was passed to the dispatcher. The entry is removed when the dispatcher rejects or
-/// fails the request, or when the request's task ends.
-struct PendingRequest {
+/// The entry of an admitted request in [`Admission`], through which the dispatcher's commands reach
+/// the request's [`AdmittedRequest`]. The entry is removed when the dispatcher rejects or fails the
+/// request, or when the request's task ends.
+struct RequestEntry {
     /// Channel to the request's task. Contains at most one decision: after an attempt, no decision
     /// is sent until the task has reported the end of the attempt, and a rejection or failure is
     /// the last decision.
@@ -40,7 +41,7 @@
 pub struct Admission {
     clock: Clock,
     dispatcher: RefCell<Box<dyn Dispatch>>,
-    pending: RefCell<HashMap<RequestKey, PendingRequest>>,
+    pending: RefCell<HashMap<RequestKey, RequestEntry>>,
     next_key: Cell<u64>,
     wake_up: WakeUp,
     pool: Rc<TargetPool>,
@@ -79,7 +80,7 @@
     pub fn admit(self: &Rc<Self>, request: NewRequest) -> AdmittedRequest {
         let (sender, decisions) = mpsc::unbounded_channel();
         let key = request.key;
-        let pending = PendingRequest {
+        let pending = RequestEntry {
             decisions: sender,
             in_flight: None,
         };
@@ -251,8 +252,8 @@
     }
 }
 
-/// A request that was passed to the dispatcher. Dropping the value before the request is done
-/// reports the cancellation to the dispatcher.
+/// The request's side of its admission, owned by the request's task. Dropping the value before the
+/// request is done reports the cancellation to the dispatcher.
 pub struct AdmittedRequest {
     admission: Rc<Admission>,
     key: RequestKey,
