--- a/tier/proxy/src/buffered_response.rs
+++ b/tier/proxy/src/buffered_response.rs
@@ -73,8 +73,8 @@
         self.outcome
     }
 
-    /// The attempt's result for the dispatcher; `elapsed` is the time until the end of the
-    /// response.
+    /// The attempt's result for the dispatcher, with the caller's measurement of
+    /// [`AttemptResult::elapsed`].
     pub fn attempt_result(&self, elapsed: Ms) -> AttemptResult {
         AttemptResult {
             outcome: self.outcome,
--- a/tier/proxy/src/request_reader.rs
+++ b/tier/proxy/src/request_reader.rs
@@ -31,7 +31,8 @@
 pub enum RejectReason {
     /// The request cannot be served; the response has this status.
     Final(StatusCode),
-    /// The configuration or memory for the request is missing; the client may retry soon.
+    /// There is no configuration yet, or the memory budget has no room for the request; the client
+    /// may retry soon.
     Overloaded,
     /// The process ends before the response would be complete; another node can serve the request
     /// from its start.
--- a/tier/proxy/src/stream/turn_completion.rs
+++ b/tier/proxy/src/stream/turn_completion.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Reserves tokens, fetches the previous turn, and puts its history before the input in the
-    /// body of the request.
+    /// Reserves tokens, fetches the history that the turn continues, and puts the history before the
+    /// input in the body of the request.
     ///
     /// # Errors
     /// A [`TurnError`] if the turn must not be sent. An exhausted memory budget is reported as
--- a/tier/proxy/src/turn.rs
+++ b/tier/proxy/src/turn.rs
@@ -1,5 +1,7 @@
-//! A turn of an agent program: reserves tokens and fetches the history at the stores before it is
-//! sent to a target, then settles the budget and stores the turn. Owned by the task of its stream.
+//! A turn of an agent program, owned by the task of its stream. Before the turn is sent to a target,
+//! [`Turn::begin`] reserves its tokens at the stores and fetches the history that it continues.
+//! Afterwards the turn is settled ([`Turn::end`]): the stores commit the tokens that were delivered
+//! in place of the reservation, and store the turn if it is retained and complete.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -135,8 +137,8 @@
         }
     }
 
-    /// Settles the budget and stores the turn; true once enough stores have acknowledged it, false
-    /// if they have not by `until`.
+    /// Settles the turn, and stores it if it is retained and complete; true once enough stores have
+    /// acknowledged it, false if they have not by `until`.
     pub async fn end(&self, delivered: &DeliveredOutput, until: Instant) -> bool {
         let Some(call) = self.end_call(delivered) else {
             return true;
--- a/tier/proxy/src/turn_store.rs
+++ b/tier/proxy/src/turn_store.rs
@@ -15,10 +15,10 @@
 pub trait TurnStore {
     /// Replaces the view of the stores.
     fn set_view(&self, view: &StoreView);
-    /// Reserves the turn's maximum number of tokens and fetches the previous turn;
-    /// [`BeginOutcome::Unavailable`] after `timeout`.
+    /// Reserves the turn's maximum number of tokens and fetches the history that the turn
+    /// continues; [`BeginOutcome::Unavailable`] after `timeout`.
     fn begin(&self, turn: BeginTurn, timeout: Duration) -> LocalFuture<BeginOutcome>;
-    /// Settles the turn's budget and stores its record; [`EndOutcome::Unavailable`] after
+    /// Commits the turn's tokens and stores its record; [`EndOutcome::Unavailable`] after
     /// `timeout`.
     fn end(&self, turn: EndTurn, timeout: Duration) -> LocalFuture<EndOutcome>;
 }
