--- a/tier/dispatch/src/admission.rs
+++ b/tier/dispatch/src/admission.rs
@@ -1,4 +1,4 @@
-//! Priorities of requests, queue time-outs of requests that no target accepts, and `Retry-After`
+//! Priorities of requests, queue timeouts of requests that no target accepts, and `Retry-After`
 //! values of rejected requests. Pure functions, called by the dispatcher.
 
 use plankhill_decisions::interface::Ms;
@@ -8,19 +8,19 @@
 /// The least urgent value of the `Priority` header.
 pub const LOWEST_PRIORITY: u8 = 9;
 
-/// Queue time-out of a request that was never sent, as a share of its latency target: a request
+/// Queue timeout of a request that was never sent, as a share of its latency target: a request
 /// that is rejected within a quarter of the target still achieves most of its value with the
 /// client's next request.
 const FIRST_SEND_SHARE: f64 = 0.2;
-/// Queue time-out of a request that a target rejected, as a share of its latency target. Longer,
+/// Queue timeout of a request that a target rejected, as a share of its latency target. Longer,
 /// because a slot at that target becomes free within one response time.
 const AFTER_REJECTION_SHARE: f64 = 0.5;
-/// Queue time-out of a request whose attempt failed, as a share of its latency target.
+/// Queue timeout of a request whose attempt failed, as a share of its latency target.
 const AFTER_FAILURE_SHARE: f64 = 1.0;
-/// Queue time-out of a request behind another request of its session, as a share of the time left
+/// Queue timeout of a request behind another request of its session, as a share of the time left
 /// until its deadline.
 const IN_SESSION_SHARE: f64 = 0.5;
-/// The shortest queue time-out, so that one short backoff of a target does not cause rejections.
+/// The shortest queue timeout, so that one short backoff of a target does not cause rejections.
 const MIN_QUEUE_TIMEOUT: Ms = 20.0;
 
 /// Bounds of the `Retry-After` that is sent to a client.
--- a/tier/dispatch/src/attempt.rs
+++ b/tier/dispatch/src/attempt.rs
@@ -19,11 +19,12 @@
 /// - `Delivered`: the response (any status below 500 without `Not-Executed`) has arrived
 ///   completely;
 /// - `Error`: the target executed the request and returned an error response;
-/// - `Rejected`: the response has `Not-Executed` (or is a 421): the request was certainly not
-///   executed;
+/// - `Rejected`: the response has `Not-Executed`: the request was certainly not executed;
 /// - `TimedOut`: no complete response by the attempt's deadline;
-/// - `ConnectFailed`: no connection was established, nothing was written;
-/// - `Reset`: the connection broke after something was written: the request may have been executed;
+/// - `ConnectFailed`: no connection was established and nothing was written, or another target
+///   responded at the address (421): the request was certainly not executed;
+/// - `Reset`: the connection broke after something was written, or the response was not a valid
+///   response to this request: the request may have been executed;
 /// - `Cancelled`: the proxy ended the attempt (the client has disconnected, or the response cannot
 ///   be read): the request may have been executed;
 /// - `NotSent`: the proxy wrote nothing of the request.
@@ -31,8 +32,8 @@
 pub struct AttemptResult {
     /// The outcome, as defined above.
     pub outcome: AttemptOutcome,
-    /// Time from the send until the end of the response head, or until the attempt ended without a
-    /// response head.
+    /// Time from the start of the attempt to its end; on a streaming route, only to the response
+    /// head if one arrives.
     pub elapsed: Ms,
     /// The target's `Retry-After`.
     pub retry_after: Option<Ms>,
--- a/tier/dispatch/src/command.rs
+++ b/tier/dispatch/src/command.rs
@@ -43,7 +43,7 @@
         retry_after: Ms,
     },
     /// Final response for a request that may have been executed: the last target's own error
-    /// response if it has arrived completely; otherwise 504 after a time-out and 502 after any
+    /// response if it has arrived completely; otherwise 504 after a timeout and 502 after any
     /// other outcome. A response that has begun is truncated.
     Fail {
         /// The request.
--- a/tier/dispatch/src/command_writer.rs
+++ b/tier/dispatch/src/command_writer.rs
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Removes and returns one request whose queue time-out has expired.
+    /// Removes and returns one request whose queue timeout has expired.
     pub(crate) fn pop_expired(&mut self) -> Option<RequestKey> {
         self.state.queue_timeouts.pop_expired(self.now)
     }
--- a/tier/dispatch/src/dispatcher.rs
+++ b/tier/dispatch/src/dispatcher.rs
@@ -106,7 +106,7 @@
         });
     }
 
-    /// The time until which a new request is queued. The time-out begins once the cool-down of the
+    /// The time until which a new request is queued. The timeout begins once the cool-down of the
     /// request's session is over.
     fn first_queue_deadline(&self, now: Ms, new: &NewRequest) -> Ms {
         let Some(session) = new.session else {
--- a/tier/dispatch/src/lib.rs
+++ b/tier/dispatch/src/lib.rs
@@ -6,10 +6,13 @@
 //! load, retries, priorities) and translates between the proxy and the decision module. Time is
 //! passed in as an argument, in milliseconds on the proxy's clock.
 //!
-//! The path of a request through the crate: [`Dispatcher::enqueue`] sets its queue time-out
-//! ([`admission`]), the scheduler determines the targets that are open to it, `target_selection`
-//! selects the cheapest of them, and [`Dispatcher::on_attempt_ended`] decides by [`retry`] whether
-//! another attempt follows.
+//! The decision module uses the terms of the event forwarder: a request is an event there, a service
+//! is a destination, and the hash of a session is an order key.
+//!
+//! The path of a request through the crate: [`Dispatcher::enqueue`] sets its queue timeout
+//! ([`admission`]), the scheduler determines the targets that are open, that is, to which the request
+//! may be sent now, `target_selection` selects the cheapest of them, and
+//! [`Dispatcher::on_attempt_ended`] decides by [`retry`] whether another attempt follows.
 
 pub mod admission;
 pub mod affinity;
--- a/tier/dispatch/src/request.rs
+++ b/tier/dispatch/src/request.rs
@@ -38,7 +38,7 @@
     /// A hash of the `Session` header on `streaming` routes. Requests of one session are sent one
     /// at a time, in order of arrival. `None` on other routes.
     pub session: Option<u64>,
-    /// When the response is due: the earlier of the client's deadline and the route's time-out.
+    /// When the response is due: the earlier of the client's deadline and the route's timeout.
     pub deadline: Ms,
     /// The route's `target_latency_ms`.
     pub latency_target: Ms,
--- a/tier/dispatch/src/retry.rs
+++ b/tier/dispatch/src/retry.rs
@@ -36,11 +36,11 @@
 /// complete service is at capacity or unavailable.
 const MAX_NOT_EXECUTED_RETRIES: u32 = 3;
 
-/// Time-out of an attempt that may be followed by another one, in latency targets and in typical
+/// Timeout of an attempt that may be followed by another one, in latency targets and in typical
 /// response times; the longer one applies. After both, a response is lost more often than late.
 const ATTEMPT_TIMEOUT_TARGETS: f64 = 2.0;
 const ATTEMPT_TIMEOUT_RESPONSES: f64 = 8.0;
-/// The time-out is at most this share of the time left, so that the next attempt has as much.
+/// The timeout is at most this share of the time left, so that the next attempt has as much.
 const MAX_ATTEMPT_SHARE: f64 = 0.5;
 
 /// Whether another attempt may follow the one that is about to be sent.
--- a/tier/dispatch/src/target_load.rs
+++ b/tier/dispatch/src/target_load.rs
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Records a response whose head arrived after `elapsed`.
+    /// Records a delivered response with its [`crate::AttemptResult::elapsed`].
     pub fn on_response(&mut self, elapsed: Ms) {
         let before = self.typical_response_time.unwrap_or(elapsed);
         self.typical_response_time = Some(before + RESPONSE_TIME_WEIGHT * (elapsed - before));
@@ -157,7 +157,7 @@
             .clamp(MIN_REJECTION_BACKOFF, MAX_REJECTION_BACKOFF)
     }
 
-    /// The typical time until the head of a response arrives.
+    /// The typical time until a response, or the head of a stream, arrives.
     pub fn response_time(&self) -> Ms {
         self.typical_response_time.unwrap_or(INITIAL_RESPONSE_TIME)
     }
--- a/tier/dispatch/src/targets.rs
+++ b/tier/dispatch/src/targets.rs
@@ -25,7 +25,8 @@
     pub(crate) hash: u64,
     pub(crate) load: TargetLoad,
     pub(crate) prefix_cache: PrefixCache,
-    /// The end of the backoff after the target's last rejection.
+    /// The end of the backoff after the target's last rejection, until which the target is not
+    /// open.
     closed_until: Ms,
     service: DestinationId,
     state: EndpointState,
--- a/tier/dispatch/tests/admission.rs
+++ b/tier/dispatch/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tests of priorities, queue time-outs, `Retry-After` and the session cool-down.
+//! Tests of priorities, queue timeouts, `Retry-After` and the session cool-down.
 
 use arbtest::arbtest;
 use plankhill_dispatch::admission::{
--- a/tier/dispatch/tests/attempts.rs
+++ b/tier/dispatch/tests/attempts.rs
@@ -123,7 +123,7 @@
         while commands.is_empty() {
             now = proxy
                 .wake_at
-                .expect("queued requests have a time-out")
+                .expect("queued requests have a timeout")
                 .max(now);
             commands = proxy.iterate_at(now, |_| ());
         }
