--- a/tier/conversations/src/account.rs
+++ b/tier/conversations/src/account.rs
@@ -88,7 +88,7 @@
         self.turns.get(turn).copied()
     }
 
-    /// All turns with their states, in the order of their names.
+    /// All turns with their states, in the order of their ids.
     pub fn turns(&self) -> impl Iterator<Item = (&RequestId, TurnState)> {
         self.turns.iter().map(|(turn, state)| (turn, *state))
     }
--- a/tier/conversations/src/peer.rs
+++ b/tier/conversations/src/peer.rs
@@ -68,7 +68,7 @@
         /// The turn.
         turn: RequestId,
     },
-    /// List the programs of which the caller is a replica in a set, in the order of their names.
+    /// List the programs of which the caller is a replica in a set, in the order of their ids.
     ListPrograms {
         /// The set.
         set: StoreSet,
@@ -77,7 +77,7 @@
         /// The last program of the previous page; `None` for the first page.
         after: Option<ProgramId>,
     },
-    /// Return the accounts of programs and the names of their retained turns.
+    /// Return the accounts of programs and the ids of their retained turns.
     OutlinePrograms {
         /// The programs.
         programs: Vec<ProgramId>,
@@ -153,7 +153,7 @@
     TurnAbsent,
     /// Programs with their digests; an empty list marks the end of the listing.
     Programs(Vec<ProgramDigest>),
-    /// Accounts of programs and the names of their retained turns.
+    /// Accounts of programs and the ids of their retained turns.
     Outlines(Vec<ProgramOutline>),
     /// Retained turns.
     Turns(Vec<RetainedTurn>),
@@ -170,7 +170,7 @@
 pub struct ProgramDigest {
     /// The program.
     pub program: ProgramId,
-    /// Digest of the program's account and of the names of its retained turns; equal at two stores that
+    /// Digest of the program's account and of the ids of its retained turns; equal at two stores that
     /// have the same account and turns.
     pub digest: u64,
 }
@@ -182,6 +182,6 @@
     pub program: ProgramId,
     /// The program's budget account.
     pub account: Account,
-    /// The names of the program's retained turns.
+    /// The ids of the program's retained turns.
     pub turns: Vec<RequestId>,
 }
--- a/tier/conversations/src/rows.rs
+++ b/tier/conversations/src/rows.rs
@@ -15,13 +15,13 @@
 /// The tables of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Table {
-    /// Retained turns ([`TurnRow`]) by their names.
+    /// Retained turns ([`TurnRow`]) by their ids.
     Turns,
     /// States of turns in budget accounts ([`AccountRow`]) by program and turn.
     Accounts,
     /// Updates that other stores have missed, by store, program and turn; the rows are empty.
     Hints,
-    /// Extended expiry times of turns, by the names of the turns: times of day in milliseconds.
+    /// Extended expiry times of turns, by the ids of the turns: times of day in milliseconds.
     Extensions,
     /// The store's own incarnation and view.
     Metadata,
--- a/tier/conversations/src/turn_index.rs
+++ b/tier/conversations/src/turn_index.rs
@@ -18,7 +18,7 @@
 /// ended.
 pub const ACCOUNT_TTL_MS: u64 = 5 * 60 * 1_000;
 
-/// Approximate size of an entry in addition to the turn's content: names, and nodes of trees and hash
+/// Approximate size of an entry in addition to the turn's content: ids, and nodes of trees and hash
 /// tables.
 const ENTRY_OVERHEAD_BYTES: u64 = 400;
 
@@ -216,7 +216,7 @@
     }
 
     /// Digests of at most `limit` programs after `after` that pass the filter, in the order of their
-    /// names.
+    /// ids.
     pub fn list_programs(
         &self,
         after: Option<&ProgramId>,
@@ -242,7 +242,7 @@
         self.programs.get(program).map(Program::digest)
     }
 
-    /// The account and the names of the retained turns of a program; `None` for an unknown program.
+    /// The account and the ids of the retained turns of a program; `None` for an unknown program.
     pub fn outline(&self, program: &ProgramId) -> Option<ProgramOutline> {
         let known = self.programs.get(program)?;
         Some(ProgramOutline {
--- a/tier/store-client/src/turns.rs
+++ b/tier/store-client/src/turns.rs
@@ -5,16 +5,16 @@
 use plankhill_protocol::ids::{ProgramId, RequestId, StoreEpoch};
 use plankhill_protocol::store_calls::{Reservation, StoreCall, TurnLocation, TurnRecord};
 
-/// The request that a turn needs before it may run.
+/// The request to begin a turn: reserves its tokens and fetches the turns that it continues.
 #[derive(Clone, Debug)]
 pub struct BeginTurn {
     /// The program.
     pub program: ProgramId,
-    /// The turn's attempt.
+    /// The attempt's `Request-Id`, which identifies the turn.
     pub turn: RequestId,
     /// The tokens to reserve; None on a route without budgets.
     pub reservation: Option<Reservation>,
-    /// The `Request-Id` that the header `Previous` names.
+    /// The turn that this one continues: the `Request-Id` in the `Previous` header.
     pub previous: Option<RequestId>,
 }
 
@@ -25,7 +25,7 @@
     Begun {
         /// Inputs and outputs of the chain that the turn continues, concatenated from oldest to newest.
         history: Arc<[u8]>,
-        /// The previous turn to name in the turn's own record.
+        /// The storage location of the previous turn, for the turn's own record.
         previous: Option<TurnLocation>,
     },
     /// The turn does not fit into its program's budget (402).
@@ -37,12 +37,12 @@
     Unavailable,
 }
 
-/// The request that stores the end of a turn.
+/// The request to end a turn: commits its tokens and stores its record.
 #[derive(Clone, Debug)]
 pub struct EndTurn {
     /// The program.
     pub program: ProgramId,
-    /// The turn's attempt.
+    /// The attempt's `Request-Id`, which identifies the turn.
     pub turn: RequestId,
     /// Tokens sent to the client; Some(0) for a turn that certainly has not run; None without a
     /// reservation.
--- a/tier/store/src/control_plane.rs
+++ b/tier/store/src/control_plane.rs
@@ -1,5 +1,6 @@
 //! The store's subscription to the controllers, which send views of the stores and receive reports of
-//! finished transfers.
+//! finished transfers ([`FromSubscriber::StoreSynced`]). [`crate::node`] installs the views and does the
+//! transfers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
