--- a/tier/control/src/operation.rs
+++ b/tier/control/src/operation.rs
@@ -63,7 +63,7 @@
         /// The number of the order under which the edge drains.
         number: u64,
     },
-    /// A task of the singleton role, proposed by the head of the chain.
+    /// A singleton task, proposed by the head of the chain.
     SingletonTask {
         /// The view in which the proposer heads the chain: the fencing token.
         view: u64,
--- a/tier/control/src/singleton.rs
+++ b/tier/control/src/singleton.rs
@@ -7,7 +7,7 @@
 use plankhill_protocol::ids::{Incarnation, InstanceId, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// A task of the singleton role. The order of the variants is part of the stored format.
+/// A singleton task. The order of the variants is part of the stored format.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum SingletonTask {
     /// Remove targets whose heartbeats have stopped.
