--- a/tier/controller/src/control_log.rs
+++ b/tier/controller/src/control_log.rs
@@ -38,7 +38,8 @@
 pub struct ChainStatus {
     /// The number of the newest view known to this controller; 0 before the first view.
     pub view: u64,
-    /// Whether this controller is the head of the chain.
+    /// Whether this controller is the head of the chain in that view, and the view was recently
+    /// confirmed.
     pub is_head: bool,
     /// The members of the chain, head first.
     pub chain: Vec<ChainPeer>,
--- a/tier/controller/src/feed/update_stream.rs
+++ b/tier/controller/src/feed/update_stream.rs
@@ -17,7 +17,8 @@
 
 /// The revision of a subscriber and the messages that it has requested.
 pub(super) struct UpdateStream {
-    /// The revision that the subscriber holds after it has applied all updates sent so far.
+    /// The revision that the subscriber holds after it has applied all updates sent so far; while
+    /// the delivery of updates is paused, the newest revision that was announced to it.
     held_revision: Revision,
     delivery: Delivery,
     /// Set when the subscriber could not apply the changes it was sent and requested a snapshot.
@@ -56,7 +57,8 @@
     }
 
     /// Advances to the newest revision and returns the update to it; `None` if the subscriber
-    /// already holds that revision and has not requested a snapshot.
+    /// already holds that revision and has not requested a snapshot. While the delivery is paused,
+    /// the caller discards the update and only announces the revision.
     pub(super) fn advance(&mut self, change_log: &ChangeLog) -> Option<TablesUpdate> {
         let update = if std::mem::take(&mut self.snapshot_requested) {
             change_log.snapshot()
--- a/tier/controller/src/liveness_reports.rs
+++ b/tier/controller/src/liveness_reports.rs
@@ -52,8 +52,8 @@
         };
         if link.as_ref().is_none_or(|link| link.head != head.node) {
             let hello = Hello::new(Channel::Liveness, controller.node().clone());
-            let dialled = dial(head.address, &hello).await;
-            link = dialled.ok().map(|connection| HeadLink {
+            let dialed = dial(head.address, &hello).await;
+            link = dialed.ok().map(|connection| HeadLink {
                 head: head.node.clone(),
                 connection,
             });
--- a/tier/controller/src/singleton/scheduler.rs
+++ b/tier/controller/src/singleton/scheduler.rs
@@ -20,7 +20,7 @@
 /// deployments (3 s), so that a short partition does not remove them.
 const MACHINE_TIMEOUT: Duration = Duration::from_secs(4);
 /// Silence after which a serving store is removed even if no store is joining, provided that enough
-/// others serve. Its successor may have joined before it failed, and as long as the lost store is
+/// others serve. Its replacement may have joined before it failed, and as long as the lost store is
 /// counted as a member, the next loss would exceed the tolerated faults. The timeout is well above
 /// the duration of partitions and process freezes from which stores recover with their disks.
 const SERVING_STORE_TIMEOUT: Duration = Duration::from_secs(8);
@@ -144,10 +144,10 @@
     fn lost_store(&self, input: &ScheduleInput<'_>) -> Option<SingletonTask> {
         let stores = input.state.stores();
         let view = stores.view();
-        let has_successor = has_joining_machine(view);
+        let is_any_joining = has_joining_store(view);
         for member in view.next.as_ref().unwrap_or(&view.serving) {
             let is_joining = !view.serving.contains(member);
-            let timeout = if is_joining || has_successor {
+            let timeout = if is_joining || is_any_joining {
                 MACHINE_TIMEOUT
             } else {
                 SERVING_STORE_TIMEOUT
@@ -182,14 +182,14 @@
     }
 }
 
-/// Returns whether a machine that is not yet serving is a member of the next view.
-fn has_joining_machine(view: &StoreView) -> bool {
+/// Returns whether a store that is not yet serving is a member of the view's next set.
+fn has_joining_store(view: &StoreView) -> bool {
     let serves = |node: &NodeId| view.serving.iter().any(|serving| serving.node == *node);
     let mut next = view.next.iter().flatten();
     next.any(|member| !serves(&member.node))
 }
 
-/// Returns the stores of the serving and the next view, followed by the edges.
+/// Returns the stores of the view's serving set and next set, followed by the edges.
 fn registered_machines(state: &ControlState) -> impl Iterator<Item = MachineIncarnation> + '_ {
     let view = state.stores().view();
     let members = view.serving.iter().chain(view.next.iter().flatten());
--- a/tier/controller/tests/singleton_tasks.rs
+++ b/tier/controller/tests/singleton_tasks.rs
@@ -178,8 +178,8 @@
     assert_eq!(harness.due(), [remove_store("s3", 3)]);
 }
 
-/// Guards against a lost store that is never removed because its successor joined before it failed,
-/// so that no store joins afterwards.
+/// Guards against a lost store that is never removed because its replacement joined before it
+/// failed, so that no store joins afterwards.
 #[test]
 fn a_silent_store_is_removed_after_the_serving_timeout_if_enough_others_serve() {
     let mut harness = SchedulerHarness::with_stores(4);
