--- a/tier/protocol/src/feed.rs
+++ b/tier/protocol/src/feed.rs
@@ -1,6 +1,8 @@
 //! Messages between the subscribers and the feeders of the control plane's tables. Agents and
-//! stores subscribe to a controller, agents also to the home of their zone, and a proxy to the
-//! agent of its machine. [`crate::subscription`] implements the subscriber.
+//! stores subscribe to a controller, agents also to the home of their zone (the edge that sends
+//! updates to the other edges of the zone), and a proxy to the agent of its machine.
+//! [`crate::subscription`] implements the subscriber; the feeders are the controllers
+//! (`plankhill-controller`) and the agents (`plankhill-agent`).
 
 use std::net::SocketAddr;
 
@@ -42,7 +44,7 @@
     /// Reports that the store has copied all its data of the next set of stores, in the view with
     /// this epoch.
     StoreSynced(StoreEpoch),
-    /// Reports a peer that does not answer the health checks of the sending agent.
+    /// Reports a peer that does not answer the probes of the sending agent.
     SuspectPeer(NodeId),
     /// Removes the registration of the edge at once, because the edge shuts down gracefully.
     Deregister,
--- a/tier/protocol/src/subscription.rs
+++ b/tier/protocol/src/subscription.rs
@@ -130,9 +130,10 @@
     }
 
     /// Switches to updates from [`Subscription::offer`]; the feeder then sends heartbeats only. The
-    /// subscription switches back to the feeder as soon as the offers lag behind the feeder's
-    /// revision by [`MAX_HOME_LAG`], and on every new connection. Has no effect while the feeder
-    /// has announced a later revision than the subscriber's. Returns false if the queue is full.
+    /// subscription switches back to the feeder as soon as the offers have lagged behind the
+    /// feeder's revision for [`MAX_HOME_LAG`], and on every new connection. Has no effect while the
+    /// feeder has announced a later revision than the subscriber's. Returns false if the queue is
+    /// full.
     pub fn follow_home(&self) -> bool {
         self.command(Command::FollowHome)
     }
--- a/tier/protocol/src/subscription/progress.rs
+++ b/tier/protocol/src/subscription/progress.rs
@@ -9,12 +9,13 @@
 use crate::ids::Revision;
 use crate::tables::{Tables, TablesUpdate};
 
-/// Number of heartbeats behind the subscriber's revision after which a feeder counts as not
-/// current. One is tolerated, because it may have been sent just before the feeder received the
-/// change.
+/// A feeder counts as not current when this many of its heartbeats have reported an earlier
+/// revision than the subscriber's. One is tolerated, because it may have been sent just before the
+/// feeder received the change.
 const MAX_HEARTBEATS_BEHIND: u32 = 2;
-/// Number of heartbeats before the answer to a request after which the session reconnects. Two are
-/// tolerated: one may have been in transit already, and the next may have crossed the request.
+/// The session reconnects when this many heartbeats with a later revision than the subscriber's
+/// have arrived while a request is unanswered. Two are tolerated: one may have been in transit
+/// already, and the next may have crossed the request.
 const MAX_HEARTBEATS_BEFORE_ANSWER: u32 = 3;
 /// Maximum time for which a home may lag behind the revision that the feeder has announced: about
 /// ten times the delay of one additional hop, and a small part of the time within which a change
@@ -70,9 +71,11 @@
 #[derive(Debug, Default)]
 pub struct Progress {
     pending: PendingRequest,
-    /// Number of heartbeats received before the answer to the pending request.
+    /// Number of heartbeats with a later revision than the subscriber's that were received before
+    /// the answer to the pending request.
     heartbeats_before_answer: u32,
-    /// Number of heartbeats behind the subscriber since the last heartbeat at its revision.
+    /// Number of heartbeats with an earlier revision than the subscriber's since the last heartbeat
+    /// at its revision.
     heartbeats_behind: u32,
     source: UpdateSource,
     /// The highest revision that the feeder has announced.
--- a/tier/protocol/src/tables.rs
+++ b/tier/protocol/src/tables.rs
@@ -121,7 +121,7 @@
     pub targets: Vec<Target>,
     /// The view of the stores.
     pub stores: StoreView,
-    /// The live edges, sorted by name.
+    /// All registered edges, sorted by name.
     pub edges: Vec<Edge>,
     /// The edges that the operator has taken out of service, sorted by name.
     pub drains: Vec<Drain>,
--- a/tier/protocol/src/transport.rs
+++ b/tier/protocol/src/transport.rs
@@ -35,7 +35,7 @@
 /// rejected when the greetings are exchanged.
 pub const PROTOCOL_VERSION: u32 = 2;
 /// Time after which unacknowledged bytes cause a connection to fail; well below the contact bound
-/// of deployments (3 s).
+/// of deployments (`contact_ms` in the settings, 3 s).
 pub const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout for opening a connection and exchanging the greetings.
 pub const DIAL_TIMEOUT: Duration = Duration::from_millis(800);
