--- a/tier/chain/src/failure_detector.rs
+++ b/tier/chain/src/failure_detector.rs
@@ -1,9 +1,12 @@
 //! Failure detector: tracks from which peers this member receives heartbeats, and which peers
-//! receive its own.
+//! receive its own. From both, `member/reconfiguration.rs` decides whether another view is needed.
 //!
 //! Timeouts count only while this process runs, so that no peer times out immediately after a
 //! freeze. Echoes return the sequence numbers of received heartbeats, so that all times are
 //! measured on this member's own clock.
+//!
+//! An echo also confirms the view of this member if the peer was in the same view and not sealed. A
+//! sealed member takes no further operations in its view ([`Heartbeat::sealed`]).
 
 use std::collections::{BTreeMap, VecDeque};
 
--- a/tier/chain/src/lib.rs
+++ b/tier/chain/src/lib.rs
@@ -2,7 +2,8 @@
 //!
 //! [`ChainMember`] is a deterministic core: it receives messages, times and disk write completions
 //! as arguments and returns [`Effect`]s. `plankhill-replica` owns the disk, the connections and the
-//! clock around the core. `docs/system/chain.md` describes the protocol and argues for its safety;
+//! clock around the core; the modules below `member` implement one concern of the protocol each.
+//! `docs/system/chain.md` describes the protocol and argues for its safety;
 //! the protocol follows van Renesse and Schneider, "Chain Replication for Supporting High
 //! Throughput and Availability" (OSDI 2004), with views that are agreed on by single-decree Paxos
 //! as in Lamport, Malkhi and Zhou, "Vertical Paxos and Primary-Backup Replication" (PODC 2009).
--- a/tier/chain/src/member/bootstrap.rs
+++ b/tier/chain/src/member/bootstrap.rs
@@ -1,5 +1,6 @@
-//! Agreement on the first view. Only machines whose disk names them as founders vote on it and
-//! propose it.
+//! Agreement on the first view. The founders are the seeds at the first start of the system; each of
+//! them has the addresses of all founders on its disk. Only machines whose disk names them as
+//! founders vote on the first view and propose it.
 
 use plankhill_protocol::ids::Revision;
 
--- a/tier/chain/src/member/mod.rs
+++ b/tier/chain/src/member/mod.rs
@@ -15,8 +15,8 @@
 //! | `proposals`, `ordering` | operations proposed at this member; their order at the head |
 //! | `replication`, `commit` | replication of operations along the chain; commit, apply, snapshot |
 //! | `catch_up` | transfer of missing operations to a member outside the chain |
-//! | `exploration`, `planted_bugs` | support for tests that explore all states |
 //! | `reads`, `read_confirmation` | linearizable reads: requests at this member; confirmation at the tail |
+//! | `exploration`, `planted_bugs` | support for tests that explore all states |
 
 mod availability;
 mod bootstrap;
--- a/tier/chain/src/member/reads.rs
+++ b/tier/chain/src/member/reads.rs
@@ -128,7 +128,8 @@
     }
 
     /// Abandons the reads whose deadline has passed, or all reads if this member is partitioned,
-    /// and sends the remaining ones that are due; called on each tick.
+    /// and sends the remaining ones that are due. At the tail, also resends the confirmation request
+    /// if it is due. Called on each tick.
     pub(super) fn retry_reads(&mut self) {
         let now = self.now;
         let is_connected = self.is_connected(now);
--- a/tier/chain/src/member/reconfiguration.rs
+++ b/tier/chain/src/member/reconfiguration.rs
@@ -75,13 +75,13 @@
         rank
     }
 
-    /// Returns whether a member of the chain should remain in it: it is alive, is not leaving and
+    /// Returns whether a member of the chain should remain in it: it is present, is not leaving and
     /// has no slow disk.
     pub(super) fn is_preferred(&self, identity: &Identity) -> bool {
         self.is_staying(identity) && !self.has_slow_disk(identity)
     }
 
-    /// Returns whether a member of the chain is alive and is not leaving.
+    /// Returns whether a member of the chain is present and is not leaving.
     pub(super) fn is_staying(&self, identity: &Identity) -> bool {
         let is_leaving = match self.local.is(identity) {
             true => self.is_leaving(),
@@ -93,6 +93,7 @@
         !is_leaving && self.is_present(identity)
     }
 
+    /// Returns whether this identity is the member itself, or a peer that has not timed out.
     pub(super) fn is_present(&self, identity: &Identity) -> bool {
         self.local.is(identity) || !self.failure_detector.has_timed_out(identity, self.now)
     }
--- a/tier/chain/src/timing.rs
+++ b/tier/chain/src/timing.rs
@@ -1,5 +1,7 @@
 //! Timeouts and intervals of the chain in ms. The values are chosen so that the chain answers again
-//! well under a second after the failure of a member, at a few messages a second.
+//! well under a second after the failure of a member, at a few messages a second. To a timeout "plus
+//! the syncs" of an answer, `member/disk_speed.rs` adds the time of the disk syncs that may precede
+//! this answer.
 //! `docs/system/chain.md` has a table of which member proposes a view after which time.
 
 use crate::effect::Millis;
@@ -22,17 +24,17 @@
 pub const VOTER_REMOVAL_TIMEOUT: Millis = 2_000;
 /// Additional delay before a member proposes a view, for each member that ranks before it.
 pub const PROPOSER_RANK_INTERVAL: Millis = 150;
-/// Time, plus the syncs of a promise, for which a proposer waits for the promises of live chain
-/// members.
+/// A proposer waits for the promises of live chain members for this long plus the syncs of a
+/// promise.
 pub const PROMISE_TIMEOUT: Millis = 200;
-/// Time, plus the syncs of a catch-up, for which a proposer waits for a member that is still
-/// catching up.
+/// A proposer waits for a member that is still catching up for this long plus the syncs of a
+/// catch-up.
 pub const CATCH_UP_TIMEOUT: Millis = 400;
 /// A proposer abandons an attempt that has received no further vote for this long plus the syncs of
 /// a vote. Doubled with each consecutive attempt that received too few votes.
 pub const ATTEMPT_TIMEOUT: Millis = 900;
-/// Upper limit, plus the syncs of a vote, of the random backoff before the next attempt. Doubled
-/// with each consecutive attempt that received too few votes.
+/// The random backoff before the next attempt is at most this long plus the syncs of a vote.
+/// Doubled with each consecutive attempt that received too few votes.
 pub const MAX_ATTEMPT_BACKOFF: Millis = 250;
 /// Interval at which unanswered messages of an agreement are sent again.
 pub const VOTE_RETRY_INTERVAL: Millis = 100;
--- a/tier/chain/src/view.rs
+++ b/tier/chain/src/view.rs
@@ -33,7 +33,8 @@
     pub incarnation: Incarnation,
 }
 
-/// A core machine that takes part in the chain or its agreements.
+/// A core machine (a machine that runs a controller) that takes part in the chain or its
+/// agreements.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// The machine and its disk incarnation.
--- a/tier/chain/tests/exploration/system.rs
+++ b/tier/chain/tests/exploration/system.rs
@@ -21,7 +21,7 @@
 /// Number of ticks in one clock advance.
 const TICKS_PER_ADVANCE: usize = 3;
 /// Time between two ticks of a clock advance, below the threshold at which a process considers
-/// itself frozen. All ticks of a clock advance together exceed the time-out of peers.
+/// itself frozen. All ticks of a clock advance together exceed the timeout of peers.
 const TICK_INTERVAL: Millis = 250;
 
 /// A defect of the system that an invariant has to detect.
--- a/tier/chain/tests/simulation/slow_syncs.rs
+++ b/tier/chain/tests/simulation/slow_syncs.rs
@@ -24,7 +24,7 @@
 const ABSENCE_DURATION: Millis = 2_000;
 /// Interval at which the operators check for acknowledgements.
 const POLL_INTERVAL: Millis = 10;
-/// Duration of a failover with fast syncs: the time-out of the head, and the agreement on a view.
+/// Duration of a failover with fast syncs: the timeout of the head, and the agreement on a view.
 const FAILOVER_DURATION: Millis = 1_500;
 /// Target: the longest time without an acknowledgement is at most this many sync times, or a
 /// failover if that takes longer.
