--- a/forwarder/server/tests/descriptors.rs
+++ b/forwarder/server/tests/descriptors.rs
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use peers::by_hand::*;
+use peers::manual_discovery::*;
 use peers::*;
 
 fn watch(requests: &Receiver<Request>) -> Request {
--- a/forwarder/server/tests/told_in_time.rs
+++ b/forwarder/server/tests/discovery_failures.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::{json, Value};
 
-use peers::by_hand::*;
+use peers::manual_discovery::*;
 use peers::*;
 
 /// The longest that a watch may wait behind a call that failed, in milliseconds.
--- a/forwarder/server/tests/notices_in_time.rs
+++ b/forwarder/server/tests/notice_deadlines.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::Value;
 
-use peers::by_hand::*;
+use peers::manual_discovery::*;
 use peers::*;
 
 const HEARD: &str = "HTTP/1.1 204 Fine\r\n\r\n";
--- a/forwarder/server/tests/peers/mod.rs
+++ b/forwarder/server/tests/peers/mod.rs
@@ -1,8 +1,8 @@
 //! Stand-ins for a forwarder's peers, and the forwarder itself as a process.
 #![allow(dead_code, unused_imports)] // each file of stories uses its part
 
-pub mod by_hand;
 pub mod held;
+pub mod manual_discovery;
 mod process;
 mod stand_ins;
 pub mod successor;
--- a/forwarder/server/tests/wire_format.rs
+++ b/forwarder/server/tests/wire_format.rs
@@ -10,7 +10,7 @@
 
 use rstest::rstest;
 
-use peers::by_hand::{by_hand, list};
+use peers::manual_discovery::{by_hand, list};
 use peers::*;
 
 const PINNED: &str = include_str!("wire_format/requests.txt");
