--- a/forwarder/server/tests/bad_targets.rs
+++ b/forwarder/server/tests/bad_targets.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use peers::held::rest;
+use peers::held::read_until_closed;
 use peers::*;
 
 /// An answer that goes on for as long as the connection stands: it ends its connection, frees the
@@ -45,24 +45,24 @@
     #[case] slowly: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery(0);
+    let (discovery, _watches, _notices) = discovery_stand_in(0);
     let mut config = config(discovery, listener.local_addr().expect("bound"));
     config["settings"]["familyInfo"]["slots"] = json!(1);
     let forwarder = Forwarder::start(&config);
     let descriptors = || {
         std::fs::read_dir(format!("/proc/{}/fd", forwarder.child.id()))
-            .expect("runs")
+            .expect("process is running")
             .count()
     };
     let before = descriptors();
     for id in ["a", "b"] {
-        forwarder.take(id, "job", "");
+        forwarder.submit(id, "job", "");
     }
     let (ended, ends) = channel();
     let mut served = Vec::new();
     // Each of the two once without an end, and once well.
     for number in 0.. {
-        let (mut stream, _) = listener.accept().expect("a connection of its own");
+        let (mut stream, _) = listener.accept().expect("a new connection");
         let (head, _) = read_message(&mut BufReader::new(&mut stream)).expect("a call");
         // Two that ran into the call's time-out would be followed by a ping.
         assert!(head.starts_with("POST /receive "), "{head}");
@@ -82,7 +82,7 @@
                 OK.replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
                     .as_bytes(),
             )
-            .expect("taken");
+            .expect("write succeeds");
         served.push(head);
         if ["Req-Id: a\r\n", "Req-Id: b\r\n"]
             .iter()
@@ -92,13 +92,13 @@
         }
     }
     // Both were ended from the other side.
-    (0..2).for_each(|_| next(&ends));
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", forwarder.child.id())).expect("runs");
+    (0..2).for_each(|_| receive(&ends));
+    let status = std::fs::read_to_string(format!("/proc/{}/status", forwarder.child.id()))
+        .expect("process is running");
     let resident = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .expect("is told");
+        .expect("field is present");
     let kilobytes: u64 = resident
         .trim()
         .trim_end_matches(" kB")
@@ -113,10 +113,10 @@
 
 /// Answers the first call, and hands over its connection.
 fn idle(forwarder: &Forwarder, listener: &TcpListener) -> TcpStream {
-    forwarder.take("a", "charge", CHARGE);
-    let (mut stream, _) = listener.accept().expect("comes up");
+    forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
+    let (mut stream, _) = listener.accept().expect("connection is established");
     read_message(&mut BufReader::new(&mut stream)).expect("a call");
-    stream.write_all(OK.as_bytes()).expect("takes it");
+    stream.write_all(OK.as_bytes()).expect("write succeeds");
     stream
 }
 
@@ -124,15 +124,17 @@
 #[rstest]
 fn a_connection_with_unread_bytes_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery(0);
+    let (discovery, _watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, listener.local_addr().expect("bound")));
     let mut first = idle(&forwarder, &listener);
-    first.write_all(b"HTTP/1.1 200 O").expect("stands");
-    forwarder.take("b", "charge", CHARGE);
-    let (mut second, _) = listener.accept().expect("a connection of its own");
+    first
+        .write_all(b"HTTP/1.1 200 O")
+        .expect("connection is open");
+    forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
+    let (mut second, _) = listener.accept().expect("a new connection");
     let (head, _) = read_message(&mut BufReader::new(&mut second)).expect("a call");
     assert!(head.contains("Req-Id: b\r\n"), "{head}");
-    assert_eq!(rest(&mut first), "");
+    assert_eq!(read_until_closed(&mut first), "");
 }
 
 /// The target closes idle connections after a time, and a request written from then on is lost:
@@ -142,24 +144,24 @@
 #[case::over_a_stall(true)]
 fn a_connection_that_stood_idle_for_its_time_is_not_used_again(#[case] stalls: bool) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery(0);
+    let (discovery, _watches, _notices) = discovery_stand_in(0);
     let mut config = config(discovery, listener.local_addr().expect("bound"));
     config["settings"]["allowed"]["keepaliveUs"] = json!(1_000_000);
     let forwarder = Forwarder::start(&config);
     let mut first = idle(&forwarder, &listener);
     if !stalls {
-        assert_eq!(first.read(&mut [0]).expect("is closed in order"), 0);
+        assert_eq!(first.read(&mut [0]).expect("closed cleanly"), 0);
         return;
     }
     // The answer has been read and the connection is back: it was there before either of these two.
-    (0..2).for_each(|_| forwarder.until_ready());
-    forwarder.stop();
+    (0..2).for_each(|_| forwarder.wait_until_ready());
+    forwarder.suspend();
     thread::sleep(Duration::from_millis(1000));
-    let mut client = TcpStream::connect(forwarder.address).expect("listens");
+    let mut client = TcpStream::connect(forwarder.address).expect("connects");
     client
-        .write_all(&event("b", "charge", CHARGE))
-        .expect("takes it");
+        .write_all(&event_request("b", "charge", ORDER_KEY_COOKIE))
+        .expect("write succeeds");
     forwarder.signal("-CONT");
-    assert_eq!(answer(&mut client).0, 202);
-    assert_eq!(rest(&mut first), "");
+    assert_eq!(read_response(&mut client).0, 202);
+    assert_eq!(read_until_closed(&mut first), "");
 }
--- a/forwarder/server/tests/calls.rs
+++ b/forwarder/server/tests/calls.rs
@@ -27,16 +27,16 @@
 #[case("job", "", &["again"])]
 #[case("order", "HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nshort", &["again"])]
 fn answers_good_and_bad(#[case] traffic: &str, #[case] said: &str, #[case] then: &[&str]) {
-    let (forwarder, calls, notices, _) = all(0, |_| ());
-    forwarder.take("a", traffic, "Cookie: about=5\r\n");
-    next(&calls).answer(&format!("{said}{BREAK}"));
+    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    forwarder.submit("a", traffic, "Cookie: about=5\r\n");
+    receive(&calls).answer(&format!("{said}{CLOSE_CONNECTION}"));
     match then {
-        [] => assert_eq!(next(&notices), given_up("a")),
-        ["again"] => assert_eq!(next(&calls).id(), "a"),
+        [] => assert_eq!(receive(&notices), given_up_notice("a")),
+        ["again"] => assert_eq!(receive(&calls).id(), "a"),
         _ => {
             // It is over: the next of its key goes, and no notice does.
-            forwarder.take("b", "charge", "Cookie: about=5\r\n");
-            assert_eq!(next(&calls).id(), "b");
+            forwarder.submit("b", "charge", "Cookie: about=5\r\n");
+            assert_eq!(receive(&calls).id(), "b");
             assert!(notices.try_recv().is_err());
         }
     }
@@ -49,14 +49,14 @@
 #[case("HTTP/1.1 500 Oh\r\nContent-Length: -2\r\n\r\n")]
 #[case("HTTP/1.1 500 Oh\r\nand no end")]
 fn spoilt_answers_take_no_target_offline(#[case] said: &str) {
-    let (forwarder, calls, _notices, _) = all(0, |_| ());
-    forwarder.take("a", "job", "");
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    forwarder.submit("a", "job", "");
     for _ in 0..3 {
-        let call = next(&calls);
+        let call = receive(&calls);
         assert!(call.head.starts_with("POST /receive "), "{}", call.head);
         call.answer(said);
     }
-    let call = next(&calls);
+    let call = receive(&calls);
     assert!(call.head.starts_with("POST /receive "), "{}", call.head);
     call.answer(OK);
 }
@@ -64,16 +64,16 @@
 #[rstest]
 fn a_connection_that_the_target_closed_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery(0);
+    let (discovery, _watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, listener.local_addr().unwrap()));
     for id in ["a", "b"] {
-        forwarder.take(id, "charge", "");
-        let (mut stream, _) = listener.accept().expect("a connection of its own");
+        forwarder.submit(id, "charge", "");
+        let (mut stream, _) = listener.accept().expect("a new connection");
         read_message(&mut BufReader::new(&mut stream)).expect("a call");
-        stream.write_all(OK.as_bytes()).expect("takes it");
+        stream.write_all(OK.as_bytes()).expect("write succeeds");
         stream
             .shutdown(std::net::Shutdown::Both)
-            .expect("shutdown started");
+            .expect("shutdown succeeds");
         // Its end of the connection closes once it has seen ours close.
         while !matches!(stream.read(&mut [0; 64]), Ok(0) | Err(_)) {}
     }
@@ -83,12 +83,12 @@
 /// it.
 #[rstest]
 fn a_target_that_came_to_rest_is_called_again() {
-    let (forwarder, calls, _notices, _) = all(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     for id in ["a", "b"] {
-        forwarder.take(id, "job", "");
-        let call = next(&calls);
+        forwarder.submit(id, "job", "");
+        let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(&format!("{OK}{BREAK}"));
+        call.answer(&format!("{OK}{CLOSE_CONNECTION}"));
         thread::sleep(Duration::from_millis(3500));
     }
 }
@@ -99,7 +99,7 @@
 #[case::few_slots(4)]
 #[case::many_slots(1024)]
 fn ten_thousand_destinations_at_rest_take_little_at_any_number_of_slots(#[case] slots: usize) {
-    let (forwarder, calls, _notices, _) = all(0, |config| {
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
         let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
         let members = config
             .pointer_mut("/known/members")
@@ -112,14 +112,14 @@
         }));
         config["settings"]["familyInfo"]["slots"] = json!(slots);
     });
-    forwarder.take("a", "job", "");
-    next(&calls).answer(OK);
-    let status =
-        std::fs::read_to_string(format!("/proc/{}/status", forwarder.child.id())).expect("runs");
+    forwarder.submit("a", "job", "");
+    receive(&calls).answer(OK);
+    let status = std::fs::read_to_string(format!("/proc/{}/status", forwarder.child.id()))
+        .expect("process is running");
     let resident = status
         .lines()
         .find_map(|line| line.strip_prefix("VmRSS:"))
-        .expect("is told");
+        .expect("field is present");
     let kilobytes: u64 = resident
         .trim()
         .trim_end_matches(" kB")
@@ -136,19 +136,19 @@
 #[case::within_its_body("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")]
 #[case::without_an_end("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")]
 fn an_answer_that_says_200_and_stops_short_ends_its_event_and_frees_its_slot(#[case] said: &str) {
-    let (forwarder, calls, notices, _) = all(0, |config| {
+    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |config| {
         config["settings"]["familyInfo"]["slots"] = json!(1)
     });
     let ids: Vec<String> = (0..4).map(|number| format!("e{number}")).collect();
     for id in &ids {
-        forwarder.take(id, "charge", "Cookie: about=5\r\n");
+        forwarder.submit(id, "charge", "Cookie: about=5\r\n");
     }
     for id in &ids {
-        let call = next(&calls);
+        let call = receive(&calls);
         assert_eq!(call.id(), id);
         call.answer(said);
     }
-    forwarder.take("last", "job", "");
-    assert_eq!(next(&calls).id(), "last");
+    forwarder.submit("last", "job", "");
+    assert_eq!(receive(&calls).id(), "last");
     assert!(notices.try_recv().is_err());
 }
--- a/forwarder/server/tests/changed_settings.rs
+++ b/forwarder/server/tests/changed_settings.rs
@@ -11,15 +11,15 @@
 /// A new life over the same folder under changed settings.
 fn restarted(mut forwarder: Forwarder, change: impl FnOnce(&mut Value)) -> Forwarder {
     forwarder.signal("-KILL");
-    forwarder.child.wait().expect("ends");
+    forwarder.child.wait().expect("process exits");
     rewritten(&forwarder, change);
-    Forwarder::over(std::mem::take(&mut forwarder.folder))
+    Forwarder::start_in(std::mem::take(&mut forwarder.folder))
 }
 
 fn rewritten(forwarder: &Forwarder, change: impl FnOnce(&mut Value)) {
     let file = forwarder.folder.join("config.json");
     let mut config: Value =
-        serde_json::from_slice(&std::fs::read(&file).expect("there")).expect("JSON");
+        serde_json::from_slice(&std::fs::read(&file).expect("file exists")).expect("JSON");
     change(&mut config);
     std::fs::write(file, config.to_string()).expect("written");
 }
@@ -40,17 +40,17 @@
 fn what_was_taken_as_binding_and_may_have_run_is_not_repeated_and_its_order_holds(
     #[case] change: fn(&mut Value),
 ) {
-    let (forwarder, calls, notices, _) = all(0, |_| ());
-    forwarder.take("a", "charge", CHARGE);
-    let out = next(&calls);
-    forwarder.take("b", "charge", CHARGE);
-    forwarder.take("c", "charge", CHARGE);
+    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
+    let out = receive(&calls);
+    forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
+    forwarder.submit("c", "charge", ORDER_KEY_COOKIE);
     let _forwarder = restarted(forwarder, change);
     drop(out);
-    assert_eq!(next(&notices), given_up("a"), "it may have run");
+    assert_eq!(receive(&notices), given_up_notice("a"), "it may have run");
     // Untried, they are still tried, one after the other.
     for id in ["b", "c"] {
-        let call = next(&calls);
+        let call = receive(&calls);
         assert_eq!(call.id(), id);
         assert!(
             calls.try_recv().is_err(),
@@ -63,12 +63,12 @@
 /// The other way round what is known now counts as well: a repeat might do it twice.
 #[rstest]
 fn what_may_not_be_repeated_any_more_is_not() {
-    let (forwarder, calls, notices, _) = all(0, |_| ());
-    forwarder.take("a", "job", "");
-    let out = next(&calls);
+    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    forwarder.submit("a", "job", "");
+    let out = receive(&calls);
     let _forwarder = restarted(forwarder, |config| semantics(config, 0, "side_effect"));
     drop(out);
-    assert_eq!(next(&notices), given_up("a"));
+    assert_eq!(receive(&notices), given_up_notice("a"));
     assert!(calls.try_recv().is_err());
 }
 
@@ -83,30 +83,30 @@
             config["settings"]["allowed"]["attemptsCap"] = json!(1000);
         }
     };
-    let (forwarder, calls, notices, _) = all(0, window(before));
-    forwarder.take("a", "order", "");
+    let (forwarder, calls, notices, _) = start_with_stand_ins(0, window(before));
+    forwarder.submit("a", "order", "");
     // Sent again inside the window, and left without an answer there.
-    let _out = next(&calls);
+    let _out = receive(&calls);
     let _forwarder = restarted(forwarder, window(after));
-    assert_eq!(next(&notices)["message"], "a");
+    assert_eq!(receive(&notices)["message"], "a");
 }
 
 #[rstest]
 fn a_new_version_that_promises_less_does_not_take_over_what_is_owed() {
-    let (first, calls, _notices, _watches) = all(0, |_| ());
-    first.until_ready();
-    first.take("a", "charge", CHARGE);
-    let out = next(&calls);
+    let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    first.wait_until_ready();
+    first.submit("a", "charge", ORDER_KEY_COOKIE);
+    let out = receive(&calls);
     rewritten(&first, |config| semantics(config, 2, "pure"));
-    let said = refused_start(&first.folder.join("config.json"), &first.folder);
+    let said = expect_start_error(&first.folder.join("config.json"), &first.folder);
     assert!(
         said.contains("PROXY_STATE") && said.contains("\"charge\""),
         "{said}"
     );
     // The old one went on.
     out.answer(OK);
-    first.take("b", "charge", CHARGE);
-    let call = next(&calls);
+    first.submit("b", "charge", ORDER_KEY_COOKIE);
+    let call = receive(&calls);
     assert_eq!(call.id(), "b");
     call.answer(OK);
 }
@@ -114,20 +114,20 @@
 /// What it owes under earlier settings goes to no other process; once that has ended, all may.
 #[rstest]
 fn a_process_that_owes_by_earlier_settings_hands_over_once_that_has_ended() {
-    let (forwarder, calls, notices, _) = all(0, |_| ());
-    forwarder.take("a", "charge", CHARGE);
-    let out = next(&calls);
-    forwarder.take("b", "charge", CHARGE);
+    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
+    let out = receive(&calls);
+    forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
     let second = restarted(forwarder, |config| semantics(config, 2, "pure"));
     drop(out);
-    assert_eq!(next(&notices), given_up("a"));
-    let call = next(&calls);
-    let said = refused_start(&second.folder.join("config.json"), &second.folder);
+    assert_eq!(receive(&notices), given_up_notice("a"));
+    let call = receive(&calls);
+    let said = expect_start_error(&second.folder.join("config.json"), &second.folder);
     assert!(said.contains("hands nothing over"), "{said}");
     call.answer(OK);
-    second.take("c", "job", "");
-    assert_eq!(next(&calls).id(), "c", "b is over");
-    let third = Forwarder::over(second.folder.clone());
-    third.until_ready();
+    second.submit("c", "job", "");
+    assert_eq!(receive(&calls).id(), "c", "b is over");
+    let third = Forwarder::start_in(second.folder.clone());
+    third.wait_until_ready();
     assert_eq!(third.address, second.address, "the listener is the same");
 }
--- a/forwarder/server/tests/concurrent_starts.rs
+++ b/forwarder/server/tests/concurrent_starts.rs
@@ -77,7 +77,7 @@
             2 => ledger.record_outcome(&id, Outcome::Abandoned, None),
             _ => (),
         }
-        ledger.commit().expect("writes");
+        ledger.commit().expect("write succeeds");
         taken += 1;
     }
     taken
@@ -107,8 +107,8 @@
         .into_iter()
         .map(|folder| {
             thread::spawn(move || {
-                let forwarder = Forwarder::over(folder);
-                while forwarder.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").0 != 200 {
+                let forwarder = Forwarder::start_in(folder);
+                while forwarder.exchange(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").0 != 200 {
                     assert!(begun.elapsed() < LONG, "is not ready");
                     thread::sleep(Duration::from_millis(5));
                 }
@@ -118,7 +118,7 @@
         .collect();
     let ready: Vec<_> = starts
         .into_iter()
-        .map(|start| start.join().expect("is ready"))
+        .map(|start| start.join().expect("process is ready"))
         .collect();
     let mut times: Vec<f64> = ready.iter().map(|(time, _)| *time).collect();
     times.sort_by(f64::total_cmp);
--- a/forwarder/server/tests/descriptors.rs
+++ b/forwarder/server/tests/descriptors.rs
@@ -14,9 +14,9 @@
 use peers::*;
 
 fn watch(requests: &Receiver<Request>) -> Request {
-    std::iter::repeat_with(|| next(requests))
+    std::iter::repeat_with(|| receive(requests))
         .find(Request::is_watch)
-        .expect("endless")
+        .expect("iterator is endless")
 }
 
 /// Descriptors that the system gives.
@@ -43,25 +43,27 @@
     #[case] sockets: usize,
 ) {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, requests) = by_hand();
+    let (discovery, requests) = manual_discovery();
     let mut told = config(discovery, old);
     told["limits"]["sockets"] = json!(sockets);
-    let forwarder = Forwarder::limited(&told, MOST);
+    let forwarder = Forwarder::start_with_descriptor_limit(&told, MOST);
     let down = watch(&requests);
     let idle = fill(&forwarder, 2 * MOST);
     // Its next dial finds whatever is left.
-    down.breaks_off();
+    down.disconnect();
     let mut back = watch(&requests);
-    back.write(&list(43, true, &[member("u", new, "up")]));
-    assert_eq!(watch(&requests).number("since"), 43);
-    forwarder.take("a", "charge", "");
-    let call = next(&new_calls);
+    back.write(&list_response(43, true, &[member("u", new, "up")]));
+    assert_eq!(watch(&requests).query_number("since"), 43);
+    forwarder.submit("a", "charge", "");
+    let call = receive(&new_calls);
     assert_eq!(call.id(), "a");
     call.answer(ERROR);
     let notice =
-        std::iter::repeat_with(|| next(&requests)).find(|r| r.head.starts_with("POST /status "));
-    notice.expect("endless").write("HTTP/1.1 204 Fine\r\n\r\n");
-    assert_eq!(forwarder.call("GET", "/-/ready"), 200);
+        std::iter::repeat_with(|| receive(&requests)).find(|r| r.head.starts_with("POST /status "));
+    notice
+        .expect("iterator is endless")
+        .write("HTTP/1.1 204 Fine\r\n\r\n");
+    assert_eq!(forwarder.call_admin("GET", "/-/ready"), 200);
     assert!(old_calls.try_recv().is_err());
     assert!(!forwarder
         .log
--- a/forwarder/server/tests/discovery_failures.rs
+++ b/forwarder/server/tests/discovery_failures.rs
@@ -20,7 +20,7 @@
 /// The next watch; that the whole list cannot be had is all that asks for it hear.
 fn watch(requests: &Receiver<Request>) -> Request {
     loop {
-        let mut request = next(requests);
+        let mut request = receive(requests);
         if request.is_watch() {
             return request;
         }
@@ -75,43 +75,43 @@
     fails: Fails,
 ) {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, requests) = by_hand();
+    let (discovery, requests) = manual_discovery();
     let (forwarder, _) = start(discovery, old, told, 1);
     let mut first = watch(&requests);
     assert!(
-        first.number("timeout_ms") <= SHORT,
+        first.query_number("timeout_ms") <= SHORT,
         "it was not had at the start"
     );
-    first.write(&list(42, false, &[]));
+    first.write(&list_response(42, false, &[]));
     let mut fine = watch(&requests);
     assert!(
-        fine.number("timeout_ms") > SHORT,
+        fine.query_number("timeout_ms") > SHORT,
         "one answered is followed by one that stands"
     );
     match fails {
-        Fails::BreaksOff => fine.breaks_off(),
+        Fails::BreaksOff => fine.disconnect(),
         Fails::Half => {
-            fine.write(&list(43, false, &[member("t", old, "up")])[..80]);
-            fine.breaks_off();
+            fine.write(&list_response(43, false, &[member("t", old, "up")])[..80]);
+            fine.disconnect();
         }
         Fails::Refuses => fine.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
         Fails::NotJson => fine.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{"),
         Fails::NoList => fine.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
         Fails::Claims3Gb => fine.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{"),
         Fails::Trickles => trickles(&fine),
-        Fails::Older => fine.write(&list(40, false, &[member("t", old, "up")])),
+        Fails::Older => fine.write(&list_response(40, false, &[member("t", old, "up")])),
     }
     let mut again = watch(&requests);
-    assert_eq!(again.number("since"), 42);
-    assert!(again.number("timeout_ms") <= SHORT, "{}", again.head);
-    again.write(&list(
+    assert_eq!(again.query_number("since"), 42);
+    assert!(again.query_number("timeout_ms") <= SHORT, "{}", again.head);
+    again.write(&list_response(
         43,
         false,
         &[member("t", old, "draining"), member("u", new, "up")],
     ));
-    assert!(watch(&requests).number("timeout_ms") > SHORT);
-    forwarder.take("a", "job", "");
-    assert_eq!(next(&new_calls).id(), "a");
+    assert!(watch(&requests).query_number("timeout_ms") > SHORT);
+    forwarder.submit("a", "job", "");
+    assert_eq!(receive(&new_calls).id(), "a");
     assert!(old_calls.try_recv().is_err());
 }
 
@@ -133,36 +133,36 @@
 #[rstest]
 fn an_older_revision_undoes_nothing_and_a_whole_list_asked_for_is_taken_whatever_its_number() {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, requests) = by_hand();
+    let (discovery, requests) = manual_discovery();
     let (forwarder, _) = start(discovery, old, "pushed", 1);
-    watch(&requests).write(&list(
+    watch(&requests).write(&list_response(
         45,
         true,
         &[member("t", old, "draining"), member("u", new, "up")],
     ));
     for whole in [false, true] {
-        let mut stale = next(&requests);
-        assert_eq!(stale.number("since"), 45);
-        stale.write(&list(
+        let mut stale = receive(&requests);
+        assert_eq!(stale.query_number("since"), 45);
+        stale.write(&list_response(
             44,
             whole,
             &[member("t", old, "up"), member("u", new, "draining")],
         ));
-        let mut asked = next(&requests);
+        let mut asked = receive(&requests);
         assert!(!asked.is_watch(), "{}", asked.head);
         asked.write(ERROR);
     }
-    forwarder.take("a", "job", "");
-    assert_eq!(next(&new_calls).id(), "a");
-    let mut stale = next(&requests);
-    assert_eq!(stale.number("since"), 45);
-    stale.write(&list(2, false, &[]));
-    next(&requests).write(&list(3, true, &[member("v", old, "up")]));
-    assert_eq!(next(&requests).number("since"), 3);
-    forwarder.take("b", "job", "");
-    let call = std::iter::repeat_with(|| next(&old_calls))
+    forwarder.submit("a", "job", "");
+    assert_eq!(receive(&new_calls).id(), "a");
+    let mut stale = receive(&requests);
+    assert_eq!(stale.query_number("since"), 45);
+    stale.write(&list_response(2, false, &[]));
+    receive(&requests).write(&list_response(3, true, &[member("v", old, "up")]));
+    assert_eq!(receive(&requests).query_number("since"), 3);
+    forwarder.submit("b", "job", "");
+    let call = std::iter::repeat_with(|| receive(&old_calls))
         .find(|call| !call.head.starts_with("GET /alive"));
-    assert_eq!(call.expect("endless").id(), "b");
+    assert_eq!(call.expect("iterator is endless").id(), "b");
     assert!(new_calls.try_recv().is_err());
 }
 
@@ -173,13 +173,13 @@
 #[case::whole(true)]
 fn a_discovery_that_does_not_wait_is_not_asked_without_end(#[case] whole: bool) {
     let (target, _calls) = stand_in();
-    let (discovery, requests) = by_hand();
+    let (discovery, requests) = manual_discovery();
     let (_forwarder, _) = start(discovery, target, "pushed", 1);
     let mut first = watch(&requests);
-    first.write(&list(42, true, &[member("t", target, "up")]));
+    first.write(&list_response(42, true, &[member("t", target, "up")]));
     let began = Instant::now();
     for _ in 0..60 {
-        watch(&requests).write(&list(42, whole, &[member("t", target, "up")]));
+        watch(&requests).write(&list_response(42, whole, &[member("t", target, "up")]));
     }
     // The least of a pause beside an agent.
     assert!(
@@ -201,20 +201,20 @@
 
 fn is_asked_at_once() -> bool {
     let (target, _calls) = stand_in();
-    let ((old, old_requests), (new, requests)) = (by_hand(), by_hand());
+    let ((old, old_requests), (new, requests)) = (manual_discovery(), manual_discovery());
     let (forwarder, mut told) = start(old, target, "on_request", 300);
     // The pause behind the third failure is of 1.5 s at least.
     for _ in 0..2 {
-        next(&old_requests).write(ERROR);
+        receive(&old_requests).write(ERROR);
     }
-    let mut refused = next(&old_requests);
+    let mut refused = receive(&old_requests);
     told["discovery"] = json!(new.to_string());
     std::fs::write(forwarder.folder.join("config.json"), told.to_string()).expect("written");
     refused.write(ERROR);
     let began = Instant::now();
     forwarder.signal("-HUP");
-    let first = next(&requests);
-    assert!(first.is_watch() && first.number("timeout_ms") <= SHORT);
+    let first = receive(&requests);
+    assert!(first.is_watch() && first.query_number("timeout_ms") <= SHORT);
     assert!(old_requests.try_recv().is_err());
     began.elapsed() < Duration::from_millis(1_000)
 }
@@ -240,7 +240,7 @@
     let (target, _calls) = stand_in();
     let began = Instant::now();
     let (forwarder, _) = start(discovery, target, "on_request", 1);
-    forwarder.logged("discovery failed, error: timed out");
+    forwarder.wait_for_log("discovery failed, error: timed out");
     drop(full);
     // A second; with no bound of its own, the watch's whole wait.
     began.elapsed() < Duration::from_millis(SHORT)
--- a/forwarder/server/tests/endpoint_list.rs
+++ b/forwarder/server/tests/endpoint_list.rs
@@ -16,19 +16,19 @@
     // The port is ours, and nobody listens there on the other address.
     let ours = TcpListener::bind("127.0.0.1:0").expect("a port");
     let free = SocketAddr::from(([127, 0, 0, 2], ours.local_addr().expect("bound").port()));
-    let (discovery, watches, _notices) = discovery(0);
+    let (discovery, watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, free));
-    forwarder.take("a", "charge", "Cookie: about=5\r\n");
+    forwarder.submit("a", "charge", "Cookie: about=5\r\n");
     let (target, calls) = stand_in();
-    let watch = next(&watches);
+    let watch = receive(&watches);
     assert!(watch
         .head
         .starts_with("GET /discovery/hosts?since=41&timeout_ms="));
-    watch.answer(&page(&[member("t", target, "up")]));
-    let call =
-        std::iter::repeat_with(|| next(&calls)).find(|call| !call.head.starts_with("GET /alive"));
-    assert_eq!(call.expect("endless").id(), "a");
-    assert!(next(&watches).head.contains("since=42"));
+    watch.answer(&changes_response(&[member("t", target, "up")]));
+    let call = std::iter::repeat_with(|| receive(&calls))
+        .find(|call| !call.head.starts_with("GET /alive"));
+    assert_eq!(call.expect("iterator is endless").id(), "a");
+    assert!(receive(&watches).head.contains("since=42"));
 }
 
 #[rstest]
@@ -37,30 +37,30 @@
 fn nothing_new_goes_to_a_target_that_leaves(#[case] phase: &str) {
     let (old, old_calls) = stand_in();
     let (new, new_calls) = stand_in();
-    let (discovery, watches, _notices) = discovery(0);
+    let (discovery, watches, _notices) = discovery_stand_in(0);
     let mut forwarder = Forwarder::start(&config(discovery, old));
-    forwarder.take("a", "job", "");
-    next(&old_calls).answer(OK);
-    next(&watches).answer(&page(&[
+    forwarder.submit("a", "job", "");
+    receive(&old_calls).answer(OK);
+    receive(&watches).answer(&changes_response(&[
         member("t", old, phase),
         member("u", new, "up"),
         json!({"id": "odd"}),
     ]));
-    next(&watches); // the next watch comes once the page was handed on
-                    // What was answered before the KILL and not read by then: a retriable event
-                    // goes again, once.
+    receive(&watches); // the next watch comes once the page was handed on
+                       // What was answered before the KILL and not read by then: a retriable event
+                       // goes again, once.
     let mut unread = Vec::new();
     for id in ["b", "c", "d", "e"] {
         if id == "d" {
             forwarder.restart("-KILL"); // discovery is no help then, and the configuration is older
             unread = vec!["b", "c"];
         }
-        forwarder.take(id, "job", "");
-        let mut call = next(&new_calls);
+        forwarder.submit(id, "job", "");
+        let mut call = receive(&new_calls);
         while let Some(at) = unread.iter().position(|id| *id == call.id()) {
             unread.remove(at);
             call.answer(OK);
-            call = next(&new_calls);
+            call = receive(&new_calls);
         }
         assert_eq!(call.id(), id);
         call.answer(OK);
@@ -73,34 +73,34 @@
 #[rstest]
 fn on_sighup_list_watch_and_notices_move_and_nothing_is_lost() {
     let (target, calls) = stand_in();
-    let (old, old_watches, old_notices) = discovery(0);
-    let (new, watches, notices) = discovery(0);
+    let (old, old_watches, old_notices) = discovery_stand_in(0);
+    let (new, watches, notices) = discovery_stand_in(0);
     let mut told = config(old, target);
     let forwarder = Forwarder::start(&told);
-    let _held = next(&old_watches);
+    let _held = receive(&old_watches);
     let file = forwarder.folder.join("config.json");
     std::fs::write(&file, "{").expect("written");
     forwarder.signal("-HUP");
-    forwarder.logged("configuration not reloaded");
-    forwarder.take("a", "charge", "");
-    let out = next(&calls);
+    forwarder.wait_for_log("configuration not reloaded");
+    forwarder.submit("a", "charge", "");
+    let out = receive(&calls);
     told["discovery"] = json!(new.to_string());
     told["limits"]["sockets"] = json!(128);
     std::fs::write(&file, told.to_string()).expect("written");
     forwarder.signal("-HUP");
-    forwarder.logged("configuration change needs a restart, key: limits");
+    forwarder.wait_for_log("configuration change needs a restart, key: limits");
     out.answer(ERROR);
-    assert_eq!(next(&notices), given_up("a"));
-    let watch = next(&watches);
+    assert_eq!(receive(&notices), given_up_notice("a"));
+    let watch = receive(&watches);
     assert!(watch.head.contains("since=41"), "{}", watch.head);
     let (other, other_calls) = stand_in();
-    watch.answer(&page(&[
+    watch.answer(&changes_response(&[
         member("t", target, "removed"),
         member("u", other, "up"),
     ]));
-    next(&watches);
-    forwarder.take("b", "job", "");
-    assert_eq!(next(&other_calls).id(), "b");
+    receive(&watches);
+    forwarder.submit("b", "job", "");
+    assert_eq!(receive(&other_calls).id(), "b");
     assert!(old_notices.try_recv().is_err() && calls.try_recv().is_err());
 }
 
@@ -124,28 +124,28 @@
     const LEAST_PAUSE: Duration = Duration::from_millis(375);
     let (old, old_calls) = stand_in();
     let (new, new_calls) = stand_in();
-    let (discovery, watches, _notices) = discovery(0);
+    let (discovery, watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, old));
-    let watch = next(&watches);
-    forwarder.take("a", "job", "");
-    let call = next(&old_calls);
+    let watch = receive(&watches);
+    forwarder.submit("a", "job", "");
+    let call = receive(&old_calls);
     let before_its_pause = Instant::now();
     call.answer(ERROR);
     // Its pause and the watch's answer both end in the stall; the call of b says that the error was
     // heard.
-    forwarder.take("b", "job", "");
-    next(&old_calls).answer(OK);
-    forwarder.stop();
+    forwarder.submit("b", "job", "");
+    receive(&old_calls).answer(OK);
+    forwarder.suspend();
     if before_its_pause.elapsed() >= LEAST_PAUSE {
         return false;
     }
-    watch.answer(&page(&[
+    watch.answer(&changes_response(&[
         member("t", old, "draining"),
         member("u", new, "up"),
     ]));
     thread::sleep(Duration::from_millis(1000));
     forwarder.signal("-CONT");
-    assert_eq!(next(&new_calls).id(), "a");
+    assert_eq!(receive(&new_calls).id(), "a");
     assert_eq!(old_calls.try_recv().map(|call| call.head).ok(), None);
     true
 }
--- a/forwarder/server/tests/floods.rs
+++ b/forwarder/server/tests/floods.rs
@@ -18,11 +18,11 @@
 /// for anything.
 #[rstest]
 fn who_asks_without_an_end_does_not_keep_others_waiting() {
-    let (forwarder, calls, _notices, _) = all(0, |_| ());
-    let flood = TcpStream::connect(forwarder.address).expect("listens");
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let flood = TcpStream::connect(forwarder.address).expect("connects");
     let (mut writes, mut reads) = (
         flood.try_clone().expect("a descriptor"),
-        flood.try_clone().expect("one more"),
+        flood.try_clone().expect("a descriptor"),
     );
     thread::spawn(move || while writes.write_all(&UP.repeat(1000)).is_ok() {});
     let (begins, begun) = channel();
@@ -33,14 +33,14 @@
         }
     });
     // Under way, with a buffer of requests behind it.
-    (0..10).for_each(|_| next(&begun));
+    (0..10).for_each(|_| receive(&begun));
     for id in ["a", "b", "c"] {
-        forwarder.take(id, "job", "");
-        let call = next(&calls);
+        forwarder.submit(id, "job", "");
+        let call = receive(&calls);
         assert_eq!(call.id(), id);
         call.answer(OK);
     }
-    assert_eq!(forwarder.call("GET", "/-/ready"), 200);
+    assert_eq!(forwarder.call_admin("GET", "/-/ready"), 200);
     let _ = flood.shutdown(std::net::Shutdown::Both);
 }
 
@@ -49,10 +49,11 @@
 #[case::its_answers_are_read(true)]
 #[case::nor_reads_its_answers(false)]
 fn who_asks_again_before_its_answer_makes_room(#[case] reads: bool) {
-    let (forwarder, calls, _notices, _) = all(0, |config| config["limits"]["sockets"] = json!(64));
+    let (forwarder, calls, _notices, _) =
+        start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
     let (begins, begun) = channel();
     for _ in 0..16 {
-        let mut asks = TcpStream::connect(forwarder.address).expect("listens");
+        let mut asks = TcpStream::connect(forwarder.address).expect("connects");
         let (mut answers, begins) = (asks.try_clone().expect("a descriptor"), begins.clone());
         thread::spawn(move || {
             while asks.write_all(&UP.repeat(1000)).is_ok() {
@@ -66,10 +67,10 @@
         }
     }
     // Under way, more than what the kernel holds for one that is not accepted.
-    (0..16).for_each(|_| next(&begun));
+    (0..16).for_each(|_| receive(&begun));
     for id in ["a", "b", "c"] {
-        forwarder.take(id, "job", "");
-        let call = next(&calls);
+        forwarder.submit(id, "job", "");
+        let call = receive(&calls);
         assert_eq!(call.id(), id);
         call.answer(OK);
     }
--- a/forwarder/server/tests/invalid_files.rs
+++ b/forwarder/server/tests/invalid_files.rs
@@ -23,8 +23,8 @@
 /// What the folder holds, but for the lock, which says who looks and nothing else.
 fn held(folder: &Path) -> BTreeMap<PathBuf, Option<Vec<u8>>> {
     let entries = fs::read_dir(folder)
-        .expect("there")
-        .map(|entry| entry.expect("there").path());
+        .expect("file exists")
+        .map(|entry| entry.expect("file exists").path());
     entries
         .filter(|path| !path.ends_with("lock"))
         .map(|path| (path.clone(), fs::read(path).ok()))
@@ -36,7 +36,7 @@
     let (target, _calls) = stand_in();
     let file = beside.path().join("config.json");
     fs::write(&file, config(target, target).to_string()).expect("written");
-    refused_start(&file, state)
+    expect_start_error(&file, state)
 }
 
 #[rstest]
@@ -80,7 +80,7 @@
 #[case("list")]
 fn a_folder_in_the_place_of_a_file_ends_the_start_with_one_line(#[case] file: &str) {
     let folder = folder();
-    fs::create_dir(folder.path().join(file)).expect("made");
+    fs::create_dir(folder.path().join(file)).expect("created");
     let before = held(folder.path());
     let said = start_fails(folder.path());
     assert!(
@@ -102,7 +102,7 @@
             "{said}"
         );
     }
-    assert!(!none.exists() && fs::read(&file).expect("there") == b"something");
+    assert!(!none.exists() && fs::read(&file).expect("file exists") == b"something");
 }
 
 /// What one customer's forwarder took names destinations of that customer, under numbers that
@@ -111,13 +111,13 @@
 #[case::it_runs(true)]
 #[case::it_has_ended(false)]
 fn the_folder_of_another_forwarder_is_neither_gone_on_from_nor_taken_over(#[case] runs: bool) {
-    let (mut first, calls, _notices, _watches) = all(0, |_| ());
-    first.until_ready();
-    first.take("a", "job", "");
-    let out = next(&calls);
+    let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    first.wait_until_ready();
+    first.submit("a", "job", "");
+    let out = receive(&calls);
     if !runs {
         first.signal("-KILL");
-        first.child.wait().expect("ends");
+        first.child.wait().expect("process exits");
     }
     let before = held(&first.folder);
     let (beside, (other, called)) = (folder(), stand_in());
@@ -125,7 +125,7 @@
     let mut config = config(other, other);
     config["name"] = json!("n1");
     fs::write(&file, config.to_string()).expect("written");
-    let said = refused_start(&file, &first.folder);
+    let said = expect_start_error(&file, &first.folder);
     assert!(
         said.contains("PROXY_STATE: ") && said.contains("owner") && said.contains("\"n0\"'s"),
         "{said}"
@@ -138,11 +138,11 @@
     );
     if runs {
         out.answer(OK);
-        first.take("b", "job", "");
+        first.submit("b", "job", "");
     } else {
-        first = Forwarder::over(std::mem::take(&mut first.folder));
+        first = Forwarder::start_in(std::mem::take(&mut first.folder));
     }
-    assert_eq!(next(&calls).id(), if runs { "b" } else { "a" });
+    assert_eq!(receive(&calls).id(), if runs { "b" } else { "a" });
     drop(first);
 }
 
@@ -151,17 +151,17 @@
 fn an_empty_list_is_none() {
     let (forwarder, calls, _notices, _watches) = {
         let (target, calls) = stand_in();
-        let (discovery, watches, notices) = discovery(0);
+        let (discovery, watches, notices) = discovery_stand_in(0);
         let empty = |folder: &Path| fs::write(folder.join("list"), b"").expect("written");
         (
-            Forwarder::start_with(&config(discovery, target), empty),
+            Forwarder::start_prepared(&config(discovery, target), empty),
             calls,
             notices,
             watches,
         )
     };
-    forwarder.take("a", "job", "");
-    assert_eq!(next(&calls).id(), "a");
+    forwarder.submit("a", "job", "");
+    assert_eq!(receive(&calls).id(), "a");
 }
 
 #[rstest]
@@ -173,8 +173,8 @@
     #[case] text: Option<&str>,
     #[case] says: &str,
 ) {
-    let (forwarder, calls, notices, _watches) = all(0, |_| ());
-    forwarder.until_ready();
+    let (forwarder, calls, notices, _watches) = start_with_stand_ins(0, |_| ());
+    forwarder.wait_until_ready();
     let file = forwarder.folder.join("config.json");
     match text {
         Some("semantics") => {
@@ -184,16 +184,16 @@
             fs::write(&file, config.to_string()).expect("written");
         }
         Some(text) => fs::write(&file, text).expect("written"),
-        None => fs::remove_file(&file).expect("there"),
+        None => fs::remove_file(&file).expect("file exists"),
     }
     forwarder.signal("-HUP");
-    forwarder.logged("configuration not reloaded");
+    forwarder.wait_for_log("configuration not reloaded");
     assert!(
         forwarder.log.lock().unwrap().contains(says),
         "names what is faulty"
     );
     // Discovery and what a binding event is are those of before.
-    forwarder.take("a", "charge", "");
-    next(&calls).answer(ERROR);
-    assert_eq!(next(&notices), given_up("a"));
+    forwarder.submit("a", "charge", "");
+    receive(&calls).answer(ERROR);
+    assert_eq!(receive(&notices), given_up_notice("a"));
 }
--- a/forwarder/server/tests/late_calls.rs
+++ b/forwarder/server/tests/late_calls.rs
@@ -19,24 +19,24 @@
 fn a_repeat_whose_connection_comes_up_after_its_window_does_not_leave() {
     let window = Duration::from_millis(1400);
     let mut target = HeldTarget::new();
-    let (discovery, _watches, notices) = discovery(0);
+    let (discovery, _watches, notices) = discovery_stand_in(0);
     let mut config = config(discovery, target.address());
     config["settings"]["profiles"][1]["windowUs"] = json!(window.as_micros() as u64);
     let forwarder = Forwarder::start(&config);
-    forwarder.take("a", "order", "");
-    let (first, _) = target.listener.accept().expect("comes up");
+    forwarder.submit("a", "order", "");
+    let (first, _) = target.listener.accept().expect("connection is established");
     let mut from = BufReader::new(first);
     read_message(&mut from).expect("a call");
     let window_ends = Instant::now() + window;
     target.hold();
     drop(from); // it may have run
-    target.is_dialled();
-    forwarder.stop();
-    let mut repeat = target.release();
+    target.wait_for_dial();
+    forwarder.suspend();
+    let mut repeat = target.accept_dial();
     thread::sleep(window_ends.saturating_duration_since(Instant::now()));
     forwarder.signal("-CONT");
-    assert_eq!(rest(&mut repeat), "");
-    let notice = next(&notices);
+    assert_eq!(read_until_closed(&mut repeat), "");
+    let notice = receive(&notices);
     assert_eq!(
         (&notice["message"], &notice["outcome"]),
         (&json!("a"), &json!("handed_back"))
@@ -52,24 +52,24 @@
     #[case] traffic: &str,
 ) {
     let mut target = HeldTarget::new();
-    let (discovery, _watches, notices) = discovery(0);
+    let (discovery, _watches, notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
     target.hold();
-    let event = String::from_utf8(event("a", traffic, "")).expect("UTF-8");
+    let event = String::from_utf8(event_request("a", traffic, "")).expect("UTF-8");
     assert_eq!(
         forwarder
-            .ask(event.replace("Deadline: 60", "Deadline: 1.3").as_bytes())
+            .exchange(event.replace("Deadline: 60", "Deadline: 1.3").as_bytes())
             .0,
         202
     );
     let patience_ends = Instant::now() + Duration::from_millis(1300);
-    target.is_dialled();
-    forwarder.stop();
-    let mut call = target.release();
+    target.wait_for_dial();
+    forwarder.suspend();
+    let mut call = target.accept_dial();
     thread::sleep(patience_ends.saturating_duration_since(Instant::now()));
     forwarder.signal("-CONT");
-    assert_eq!(rest(&mut call), "");
-    let notice = next(&notices);
+    assert_eq!(read_until_closed(&mut call), "");
+    let notice = receive(&notices);
     assert_eq!(
         (&notice["message"], &notice["outcome"]),
         (&json!("a"), &json!("handed_back"))
@@ -81,24 +81,26 @@
 #[rstest]
 fn an_answer_that_came_in_a_stall_counts_after_its_time() {
     let target = HeldTarget::new();
-    let (discovery, _watches, notices) = discovery(0);
+    let (discovery, _watches, notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
-    let event = String::from_utf8(event("a", "charge", CHARGE)).expect("UTF-8");
+    let event = String::from_utf8(event_request("a", "charge", ORDER_KEY_COOKIE)).expect("UTF-8");
     assert_eq!(
         forwarder
-            .ask(event.replace("Deadline: 60", "Deadline: 1.3").as_bytes())
+            .exchange(event.replace("Deadline: 60", "Deadline: 1.3").as_bytes())
             .0,
         202
     );
     let patience_ends = Instant::now() + Duration::from_millis(1300);
-    let (stream, _) = target.listener.accept().expect("comes up");
+    let (stream, _) = target.listener.accept().expect("connection is established");
     let mut from = BufReader::new(stream);
     read_message(&mut from).expect("a call");
-    forwarder.stop();
-    from.get_mut().write_all(OK.as_bytes()).expect("stands");
+    forwarder.suspend();
+    from.get_mut()
+        .write_all(OK.as_bytes())
+        .expect("connection is open");
     thread::sleep(patience_ends.saturating_duration_since(Instant::now()));
     forwarder.signal("-CONT");
-    forwarder.take("b", "charge", CHARGE);
+    forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
     // The connection stands, and the next of the key goes: it is over.
     let (head, _) = read_message(&mut from).expect("a call");
     assert!(head.contains("Req-Id: b\r\n"), "{head}");
--- a/forwarder/server/tests/notice_deadlines.rs
+++ b/forwarder/server/tests/notice_deadlines.rs
@@ -19,7 +19,7 @@
 /// A forwarder, the calls it makes, and the notices that its agent gets; the list cannot be had.
 fn beside_an_agent() -> (Forwarder, Receiver<Asked>, Receiver<Request>) {
     let (target, calls) = stand_in();
-    let (discovery, requests) = by_hand();
+    let (discovery, requests) = manual_discovery();
     let (notice, notices) = channel();
     thread::spawn(move || {
         for mut request in requests {
@@ -48,8 +48,8 @@
     ids: [&str; N],
 ) -> [Asked; N] {
     ids.map(|id| {
-        forwarder.take(id, "charge", "");
-        let call = next(calls);
+        forwarder.submit(id, "charge", "");
+        let call = receive(calls);
         assert_eq!(call.id(), id);
         call
     })
@@ -81,21 +81,21 @@
     let (forwarder, calls, notices) = beside_an_agent();
     let [a, b, c] = out(&forwarder, &calls, ["a", "b", "c"]);
     a.answer(ERROR);
-    let mut first = next(&notices);
+    let mut first = receive(&notices);
     first.write(HEARD);
     b.answer(ERROR);
-    let mut stuck = next(&notices);
+    let mut stuck = receive(&notices);
     assert_eq!(stuck.connection, first.connection, "it is kept");
     match falls {
         Falls::Mute => (),
         Falls::Half => stuck.write("HTTP/1.1 204 Fi"),
-        Falls::Closed => stuck.breaks_off(),
+        Falls::Closed => stuck.disconnect(),
     }
     let began = Instant::now();
     c.answer(ERROR);
     let mut heard = Vec::new();
-    while !heard.contains(&given_up("c")) {
-        let mut again = next(&notices);
+    while !heard.contains(&given_up_notice("c")) {
+        let mut again = receive(&notices);
         assert_ne!(
             again.connection, stuck.connection,
             "what is stuck is not used again"
@@ -103,7 +103,7 @@
         heard.extend(told(&again));
         again.write(HEARD);
     }
-    assert!(heard.contains(&given_up("b")));
+    assert!(heard.contains(&given_up_notice("b")));
     began.elapsed() < Duration::from_millis(300)
 }
 
@@ -113,17 +113,17 @@
     let (forwarder, calls, notices) = beside_an_agent();
     let [a, b] = out(&forwarder, &calls, ["a", "b"]);
     a.answer(ERROR);
-    let first = next(&notices);
+    let first = receive(&notices);
     b.answer(ERROR);
-    let mut both = std::iter::repeat_with(|| next(&notices))
+    let mut both = std::iter::repeat_with(|| receive(&notices))
         .take(20)
         .find(|request| {
             let all = told(request);
-            assert_eq!(all[0], given_up("a"));
+            assert_eq!(all[0], given_up_notice("a"));
             all.len() == 2
         });
-    let both = both.as_mut().expect("goes along");
-    assert_eq!(told(both)[1], given_up("b"));
+    let both = both.as_mut().expect("a request with both notices");
+    assert_eq!(told(both)[1], given_up_notice("b"));
     both.write(HEARD);
     drop(first);
 }
--- a/forwarder/server/tests/peers/held.rs
+++ b/forwarder/server/tests/peers/held.rs
@@ -1,4 +1,4 @@
-//! A target whose next connection comes up when the story says so.
+//! A target whose next connection is established when the test allows it.
 
 use std::io::Read;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -7,9 +7,9 @@
 
 use super::LONG;
 
-/// Listens with room for one connection that waits, which is taken: the next dial gets no answer,
-/// and is repeated by the system of who dials, after a second at first, also while its process
-/// stands still.
+/// A listener with a backlog of one connection, which is filled: the next SYN gets no answer, and
+/// the kernel of the connecting side repeats it, the first time after a second, also while the
+/// connecting process is suspended.
 pub struct HeldTarget {
     pub listener: TcpListener,
     fillers: Vec<TcpStream>,
@@ -27,7 +27,7 @@
         self.listener.local_addr().expect("bound")
     }
 
-    /// No connection comes up from now on.
+    /// Fills the backlog: no connection is established from now on.
     pub fn hold(&mut self) {
         rustix::net::listen(&self.listener, 0).expect("listens");
         while let Ok(filler) =
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether somebody dials in vain.
+    /// Whether a connect to the target is pending (`SYN_SENT`).
     pub fn dialled(&self) -> bool {
         let to = format!(":{:04X} 02 ", self.address().port());
         std::fs::read_to_string("/proc/net/tcp")
@@ -45,37 +45,37 @@
             .contains(&to)
     }
 
-    /// Returns once somebody dials in vain.
-    pub fn is_dialled(&self) {
+    /// Returns once a connect to the target is pending.
+    pub fn wait_for_dial(&self) {
         let by = Instant::now() + LONG;
         while !self.dialled() {
-            assert!(Instant::now() < by, "nobody dials");
+            assert!(Instant::now() < by, "no connect is pending");
             thread::yield_now();
         }
     }
 
-    /// Connections come up again; returns the first one that is none of ours.
-    pub fn release(&mut self) -> TcpStream {
-        let ours: Vec<_> = self
+    /// Restores the backlog; returns the first connection that is not one of the fillers.
+    pub fn accept_dial(&mut self) -> TcpStream {
+        let own: Vec<_> = self
             .fillers
             .iter()
             .map(|it| it.local_addr().expect("bound"))
             .collect();
         rustix::net::listen(&self.listener, 128).expect("listens");
         loop {
-            let (stream, from) = self.listener.accept().expect("comes up");
-            if !ours.contains(&from) {
+            let (stream, from) = self.listener.accept().expect("connection is established");
+            if !own.contains(&from) {
                 return stream;
             }
         }
     }
 }
 
-/// Returns once bytes from there lie unread in a socket on this machine, whose process stands
-/// still.
-pub fn lies_unread(from: SocketAddr) {
+/// Returns once a socket on this machine, whose process is suspended, holds unread bytes from that
+/// address.
+pub fn wait_for_unread_bytes(from: SocketAddr) {
     let from = format!(":{:04X}", from.port());
-    let lies = |line: &str| {
+    let is_unread = |line: &str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.len() > 4 && fields[2].ends_with(&from) && !fields[4].ends_with(":00000000")
     };
@@ -83,19 +83,19 @@
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .lines()
-        .any(lies)
+        .any(is_unread)
     {
-        assert!(Instant::now() < by, "nothing comes");
+        assert!(Instant::now() < by, "no bytes arrive");
         thread::yield_now();
     }
 }
 
-/// All that comes until the other side ends the connection.
-pub fn rest(stream: &mut TcpStream) -> String {
+/// Reads until the other side closes the connection, an error or the time-out; returns the text.
+pub fn read_until_closed(stream: &mut TcpStream) -> String {
     stream.set_read_timeout(Some(LONG)).expect("a socket");
-    let (mut all, mut piece) = (Vec::new(), [0; 4096]);
+    let (mut received, mut piece) = (Vec::new(), [0; 4096]);
     while let Ok(read @ 1..) = stream.read(&mut piece) {
-        all.extend_from_slice(&piece[..read]);
+        received.extend_from_slice(&piece[..read]);
     }
-    String::from_utf8_lossy(&all).into_owned()
+    String::from_utf8_lossy(&received).into_owned()
 }
--- a/forwarder/server/tests/peers/manual_discovery.rs
+++ b/forwarder/server/tests/peers/manual_discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery by hand: the story has each request's connection, and answers as well or as badly as
-//! it likes.
+//! A discovery service controlled by the test, which receives each request with its connection and
+//! writes any response, also a malformed one.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -11,25 +11,25 @@
 
 use super::read_message;
 
-/// One request as discovery got it.
+/// A request that discovery received.
 pub struct Request {
-    /// The number of its connection.
+    /// The number of the connection, from 0 in the order of acceptance.
     pub connection: usize,
     pub head: String,
     pub body: Vec<u8>,
-    pub came: Instant,
+    pub received_at: Instant,
     pub stream: TcpStream,
 }
 
 impl Request {
-    /// Whether it is a watch, and not an ask for the whole list.
+    /// Whether the request is a watch, and not a request for the complete list.
     pub fn is_watch(&self) -> bool {
         self.head.starts_with("GET /discovery/hosts?")
     }
 
-    /// What a watch asks for.
-    pub fn number(&self, name: &str) -> u64 {
-        let line = self.head.lines().next().expect("a line");
+    /// The value of a numeric query parameter.
+    pub fn query_number(&self, name: &str) -> u64 {
+        let line = self.head.lines().next().expect("a request line");
         let value = line
             .split(['?', '&', ' '])
             .find_map(|part| part.strip_prefix(name)?.strip_prefix('='));
@@ -42,16 +42,16 @@
     pub fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
-            .expect("the connection stands");
+            .expect("connection is open");
     }
 
-    pub fn breaks_off(&self) {
+    pub fn disconnect(&self) {
         let _ = self.stream.shutdown(Shutdown::Both);
     }
 }
 
-/// Discovery, and all that it is asked.
-pub fn by_hand() -> (SocketAddr, Receiver<Request>) {
+/// Starts discovery; returns its address and the requests that it receives.
+pub fn manual_discovery() -> (SocketAddr, Receiver<Request>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (request, requests) = channel();
@@ -62,13 +62,13 @@
                 let mut from = BufReader::new(stream.try_clone().expect("a socket"));
                 while let Some((head, body)) = read_message(&mut from) {
                     let stream = stream.try_clone().expect("a socket");
-                    let came = Instant::now();
+                    let received_at = Instant::now();
                     if request
                         .send(Request {
                             connection,
                             head,
                             body,
-                            came,
+                            received_at,
                             stream,
                         })
                         .is_err()
@@ -82,8 +82,8 @@
     (address, requests)
 }
 
-/// A page of the list as it is answered.
-pub fn list(revision: u64, complete: bool, members: &[Value]) -> String {
+/// The response with a page of the endpoint list.
+pub fn list_response(revision: u64, complete: bool, members: &[Value]) -> String {
     let text = serde_json::json!({"revision": revision, "complete": complete, "members": members})
         .to_string();
     format!(
--- a/forwarder/server/tests/peers/mod.rs
+++ b/forwarder/server/tests/peers/mod.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for a forwarder's peers, and the forwarder itself as a process.
-#![allow(dead_code, unused_imports)] // each file of stories uses its part
+#![allow(dead_code, unused_imports)] // each test file uses some of it
 
 pub mod held;
 pub mod manual_discovery;
@@ -18,7 +18,7 @@
 
 pub const LONG: Duration = Duration::from_secs(30);
 pub const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-pub const CHARGE: &str = "Cookie: about=5\r\n";
+pub const ORDER_KEY_COOKIE: &str = "Cookie: about=5\r\n";
 pub const ERROR: &str = "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
 
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
@@ -42,30 +42,32 @@
             "rules": {"coldFrom": 0.2, "coldUs": 9000000, "tipMultiple": 2}}})
 }
 
-pub fn event(id: &str, traffic: &str, more: &str) -> Vec<u8> {
+pub fn event_request(id: &str, traffic: &str, extra_headers: &str) -> Vec<u8> {
     format!(
         "POST /{traffic} HTTP/1.1\r\nHost: app.svc\r\nReq-Id: {id}\r\nReq-Deadline: 60\r\n\
-         X-Envelope: dest=1\r\nIdempotency-Key: f-{id}\r\n{more}Content-Length: 4\r\n\r\nbody"
+         X-Envelope: dest=1\r\nIdempotency-Key: f-{id}\r\n{extra_headers}Content-Length: 4\r\n\r\nbody"
     )
     .into_bytes()
 }
 
-/// Target, discovery's notices and watches, and a forwarder between them.
-pub fn all(
-    deaf: usize,
+/// Starts a target, discovery and a forwarder; returns the forwarder, the target's calls, and the
+/// notices and watches that discovery receives. Discovery rejects the first `failing_notices`
+/// notice requests.
+pub fn start_with_stand_ins(
+    failing_notices: usize,
     change: impl FnOnce(&mut Value),
 ) -> (Forwarder, Receiver<Asked>, Receiver<Value>, Receiver<Asked>) {
     let (target, calls) = stand_in();
-    let (discovery, watches, notices) = discovery(deaf);
+    let (discovery, watches, notices) = discovery_stand_in(failing_notices);
     let mut config = config(discovery, target);
     change(&mut config);
     (Forwarder::start(&config), calls, notices, watches)
 }
 
-pub fn next<T>(from: &Receiver<T>) -> T {
-    from.recv_timeout(LONG).expect("comes in time")
+pub fn receive<T>(from: &Receiver<T>) -> T {
+    from.recv_timeout(LONG).expect("received in time")
 }
 
-pub fn given_up(id: &str) -> Value {
+pub fn given_up_notice(id: &str) -> Value {
     json!({"message": id, "outcome": "given_up"})
 }
--- a/forwarder/server/tests/peers/process.rs
+++ b/forwarder/server/tests/peers/process.rs
@@ -1,4 +1,4 @@
-//! The forwarder as a process.
+//! The forwarder as a child process.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -11,12 +11,12 @@
 
 use serde_json::Value;
 
-use super::{event, read_message, LONG};
+use super::{event_request, read_message, LONG};
 
 pub struct Forwarder {
     pub child: Child,
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The admin address.
     pub mgmt: SocketAddr,
     pub folder: PathBuf,
     pub log: Log,
@@ -26,11 +26,11 @@
 
 impl Forwarder {
     pub fn start(config: &Value) -> Self {
-        Self::start_with(config, |_| ())
+        Self::start_prepared(config, |_| ())
     }
 
-    /// With more in its folder.
-    pub fn start_with(config: &Value, prepare: impl FnOnce(&Path)) -> Self {
+    /// Starts a forwarder after `prepare` has added files to its folder.
+    pub fn start_prepared(config: &Value, prepare: impl FnOnce(&Path)) -> Self {
         static NEXT: AtomicUsize = AtomicUsize::new(0);
         let number = NEXT.fetch_add(1, Ordering::SeqCst);
         let folder =
@@ -38,14 +38,14 @@
         std::fs::create_dir_all(&folder).expect("a folder for the test");
         std::fs::write(folder.join("config.json"), config.to_string()).expect("written");
         prepare(&folder);
-        Self::over(folder)
+        Self::start_in(folder)
     }
 
-    /// With so many descriptors, as the system has it.
-    pub fn limited(config: &Value, descriptors: usize) -> Self {
-        let mut unlimited = Self::start(config);
-        unlimited.signal("-KILL");
-        unlimited.child.wait().expect("ends");
+    /// Starts a forwarder under a limit of the system on open descriptors (`ulimit -n`).
+    pub fn start_with_descriptor_limit(config: &Value, descriptors: usize) -> Self {
+        let mut forwarder = Self::start(config);
+        forwarder.signal("-KILL");
+        forwarder.child.wait().expect("process exits");
         let program = env!("CARGO_BIN_EXE_plankhill-forwarder");
         let mut command = Command::new("sh");
         command.args([
@@ -53,11 +53,11 @@
             &format!("ulimit -n {descriptors} && exec \"$0\""),
             program,
         ]);
-        Self::run(command, std::mem::take(&mut unlimited.folder))
+        Self::run(command, std::mem::take(&mut forwarder.folder))
     }
 
-    /// Over a folder that is there, with its configuration in it.
-    pub fn over(folder: PathBuf) -> Self {
+    /// Starts a forwarder in an existing folder that holds its configuration.
+    pub fn start_in(folder: PathBuf) -> Self {
         Self::run(
             Command::new(env!("CARGO_BIN_EXE_plankhill-forwarder")),
             folder,
@@ -70,38 +70,39 @@
             .env("PROXY_STATE", &folder)
             .stdout(Stdio::piped())
             .spawn()
-            .expect("starts");
+            .expect("process starts");
         let mut lines = BufReader::new(child.stdout.take().expect("piped")).lines();
-        let mut said = String::new();
-        let mut told = |key: &str| -> SocketAddr {
+        let mut output = String::new();
+        let mut read_address = |key: &str| -> SocketAddr {
             let mut next = || {
                 lines
                     .next()
-                    .expect("tells where it listens")
+                    .expect("log names the listen addresses")
                     .expect("UTF-8")
             };
-            let line = std::iter::repeat_with(&mut next).inspect(|line| said.extend([line, "\n"]));
+            let line =
+                std::iter::repeat_with(&mut next).inspect(|line| output.extend([line, "\n"]));
             let line = line
                 .into_iter()
                 .find(|line| line.contains(key))
-                .expect("endless");
+                .expect("iterator is endless");
             let address = line
                 .split(key)
                 .nth(1)
-                .expect("there")
+                .expect("address follows the key")
                 .split(',')
                 .next()
                 .unwrap()
                 .parse();
             address.expect("an address")
         };
-        let (address, mgmt) = (told("listen: "), told("mgmt: "));
-        let log = Arc::new(Mutex::new(said));
-        let kept = log.clone();
+        let (address, mgmt) = (read_address("listen: "), read_address("mgmt: "));
+        let log = Arc::new(Mutex::new(output));
+        let shared_log = log.clone();
         thread::spawn(move || {
             lines
                 .map_while(Result::ok)
-                .for_each(|l| *kept.lock().unwrap() += &(l + "\n"))
+                .for_each(|l| *shared_log.lock().unwrap() += &(l + "\n"))
         });
         Forwarder {
             child,
@@ -117,25 +118,25 @@
         assert!(Command::new("kill")
             .args([name, &pid])
             .status()
-            .expect("runs")
+            .expect("kill starts")
             .success());
     }
 
-    /// Returns once the log says so.
-    pub fn logged(&self, what: &str) {
+    /// Returns once the log contains the text.
+    pub fn wait_for_log(&self, text: &str) {
         let by = Instant::now() + LONG;
-        while !self.log.lock().unwrap().contains(what) {
-            assert!(Instant::now() < by, "{what:?} is not logged");
+        while !self.log.lock().unwrap().contains(text) {
+            assert!(Instant::now() < by, "{text:?} is not logged");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// Stands still once this returns.
-    pub fn stop(&self) {
+    /// Suspends the process; returns once it is stopped.
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let stat = format!("/proc/{}/stat", self.child.id());
         while !std::fs::read_to_string(&stat)
-            .expect("runs")
+            .expect("process is running")
             .contains(") T ")
         {
             thread::yield_now();
@@ -144,36 +145,39 @@
 
     pub fn restart(&mut self, signal: &str) {
         self.signal(signal);
-        self.child.wait().expect("ends");
-        // The folder stays for the next.
+        self.child.wait().expect("process exits");
+        // The folder is kept for the next process.
         let folder = std::mem::take(&mut self.folder);
-        *self = Self::over(folder);
+        *self = Self::start_in(folder);
     }
 
-    pub fn ask(&self, request: &[u8]) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.address).expect("listens");
-        stream.write_all(request).expect("takes it");
-        answer(&mut stream)
+    pub fn exchange(&self, request: &[u8]) -> (u16, String) {
+        let mut stream = TcpStream::connect(self.address).expect("connects");
+        stream.write_all(request).expect("write succeeds");
+        read_response(&mut stream)
     }
 
-    /// Returns once it serves.
-    pub fn until_ready(&self) {
+    /// Returns once the forwarder reports that it is ready.
+    pub fn wait_until_ready(&self) {
         let by = Instant::now() + LONG;
-        while self.call("GET", "/-/ready") != 200 {
-            assert!(Instant::now() < by, "is not ready");
+        while self.call_admin("GET", "/-/ready") != 200 {
+            assert!(Instant::now() < by, "the forwarder is not ready");
             thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// What operators are answered.
-    pub fn call(&self, method: &str, path: &str) -> u16 {
-        let mut stream = TcpStream::connect(self.mgmt).expect("listens");
-        write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("takes it");
-        answer(&mut stream).0
+    /// Sends a request to the admin address; returns the status.
+    pub fn call_admin(&self, method: &str, path: &str) -> u16 {
+        let mut stream = TcpStream::connect(self.mgmt).expect("connects");
+        write!(stream, "{method} {path} HTTP/1.1\r\nHost: x\r\n\r\n").expect("write succeeds");
+        read_response(&mut stream).0
     }
 
-    pub fn take(&self, id: &str, traffic: &str, more: &str) {
-        assert_eq!(self.ask(&event(id, traffic, more)).0, 202);
+    pub fn submit(&self, id: &str, traffic: &str, extra_headers: &str) {
+        assert_eq!(
+            self.exchange(&event_request(id, traffic, extra_headers)).0,
+            202
+        );
     }
 }
 
@@ -190,32 +194,35 @@
     }
 }
 
-/// What a start says that has to end with one plain line.
-pub fn refused_start(config: &Path, state: &Path) -> String {
+/// Runs a start that has to fail with one line on standard error; returns that line.
+pub fn expect_start_error(config: &Path, state: &Path) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plankhill-forwarder"));
     command
         .env("PROXY_CONFIG", config)
         .env("PROXY_STATE", state)
         .stdout(Stdio::null());
-    let mut child = command.stderr(Stdio::piped()).spawn().expect("starts");
+    let mut child = command
+        .stderr(Stdio::piped())
+        .spawn()
+        .expect("process starts");
     let by = Instant::now() + LONG;
-    while child.try_wait().expect("a child").is_none() {
+    while child.try_wait().expect("a child process").is_none() {
         if Instant::now() > by {
             let _ = child.kill();
-            panic!("it runs");
+            panic!("the process keeps running");
         }
         thread::sleep(Duration::from_millis(5));
     }
-    let ended = child.wait_with_output().expect("ends");
-    let said = String::from_utf8(ended.stderr).expect("UTF-8");
+    let ended = child.wait_with_output().expect("process exits");
+    let output = String::from_utf8(ended.stderr).expect("UTF-8");
     assert!(
-        !ended.status.success() && said.lines().count() == 1,
-        "{said}"
+        !ended.status.success() && output.lines().count() == 1,
+        "{output}"
     );
-    said
+    output
 }
 
-pub fn answer(stream: &mut TcpStream) -> (u16, String) {
+pub fn read_response(stream: &mut TcpStream) -> (u16, String) {
     stream.set_read_timeout(Some(LONG)).expect("a socket");
     let (head, _) = read_message(&mut BufReader::new(stream)).expect("an answer");
     (head[9..12].parse().expect("a status"), head)
--- a/forwarder/server/tests/peers/stand_ins.rs
+++ b/forwarder/server/tests/peers/stand_ins.rs
@@ -10,10 +10,10 @@
 
 use super::ERROR;
 
-/// Ends a reply after which the connection breaks off.
-pub const BREAK: char = '\0';
+/// Ends a reply after which the stand-in closes the connection.
+pub const CLOSE_CONNECTION: char = '\0';
 
-/// A request as a stand-in got it. What is sent to `reply` is written back.
+/// A request that a stand-in received. Text sent to `reply` is written to the connection.
 pub struct Asked {
     pub head: String,
     pub body: Vec<u8>,
@@ -27,12 +27,12 @@
             .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
     }
     pub fn id(&self) -> &str {
-        self.field("Req-Id").expect("every call has one")
+        self.field("Req-Id").expect("every call has an id")
     }
     pub fn answer(self, text: &str) {
         self.reply
             .send(text.to_owned())
-            .expect("the connection stands");
+            .expect("connection is open");
     }
 }
 
@@ -51,7 +51,7 @@
     Some((head, body))
 }
 
-/// Listens, and hands over each request that comes in.
+/// Starts a server; returns its address and the requests that it receives.
 pub fn stand_in() -> (SocketAddr, Receiver<Asked>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
@@ -68,8 +68,8 @@
                         Ok(text) => {
                             let _ = from
                                 .get_mut()
-                                .write_all(text.trim_end_matches(BREAK).as_bytes());
-                            if text.ends_with(BREAK) {
+                                .write_all(text.trim_end_matches(CLOSE_CONNECTION).as_bytes());
+                            if text.ends_with(CLOSE_CONNECTION) {
                                 return;
                             }
                         }
@@ -82,17 +82,19 @@
     (address, all)
 }
 
-/// Discovery: the watches are the story's; notices are heard at once, but for the first `deaf` of
-/// them.
-pub fn discovery(deaf: usize) -> (SocketAddr, Receiver<Asked>, Receiver<Value>) {
+/// Starts discovery; returns its address, the watches, which the test answers, and the notices.
+/// Notice requests are acknowledged at once, but for the first `failing_notices`, which fail.
+pub fn discovery_stand_in(
+    failing_notices: usize,
+) -> (SocketAddr, Receiver<Asked>, Receiver<Value>) {
     let (address, asked) = stand_in();
     let (watch, watches) = channel();
     let (notice, notices) = channel();
-    let left = AtomicUsize::new(deaf);
+    let failures_left = AtomicUsize::new(failing_notices);
     thread::spawn(move || {
         for request in asked {
             if request.head.starts_with("GET /discovery/hosts ") {
-                request.answer(ERROR); // the whole list cannot be had
+                request.answer(ERROR); // the complete list is not available
                 continue;
             }
             if request.head.starts_with("GET /discovery/hosts?") {
@@ -103,11 +105,11 @@
             for line in String::from_utf8_lossy(&request.body).lines() {
                 let _ = notice.send(serde_json::from_str(line).expect("one JSON value a line"));
             }
-            let dull = left
+            let fails = failures_left
                 .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1))
                 .is_ok();
-            let odd = String::from_utf8_lossy(&request.body).contains("unreadable");
-            request.answer(match (dull, odd) {
+            let unreadable = String::from_utf8_lossy(&request.body).contains("unreadable");
+            request.answer(match (fails, unreadable) {
                 (true, _) => ERROR,
                 (_, true) => "HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n",
                 _ => "HTTP/1.1 204 Fine\r\n\r\n",
@@ -117,8 +119,8 @@
     (address, watches, notices)
 }
 
-/// Changes of the list, as a watch answers them.
-pub fn page(members: &[Value]) -> String {
+/// The response to a watch with changes of the endpoint list.
+pub fn changes_response(members: &[Value]) -> String {
     let text = json!({"revision": 42, "complete": false, "members": members}).to_string();
     format!(
         "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}",
--- a/forwarder/server/tests/peers/successor.rs
+++ b/forwarder/server/tests/peers/successor.rs
@@ -1,4 +1,4 @@
-//! A new version that starts beside a running process, as far as the story lets it.
+//! The successor's side of a hot restart, controlled by the test.
 
 use std::path::Path;
 
@@ -10,9 +10,9 @@
         .map(|names| names.iter().map(|n| n.to_string()).collect())
 }
 
-/// A new process that says hello.
-pub fn hello(folder: &Path, version: u32) -> (MessageSender, MessageReceiver) {
-    let sender = block_on(connect(folder)).expect("somebody hears");
+/// Connects to the running process as its successor and sends `Hello`.
+pub fn send_hello(folder: &Path, version: u32) -> (MessageSender, MessageReceiver) {
+    let sender = block_on(connect(folder)).expect("the running process accepts");
     block_on(sender.send(
         &Message::Hello {
             version,
@@ -20,7 +20,7 @@
         },
         None,
     ))
-    .expect("told");
+    .expect("message sent");
     let receiver = sender.receiver();
     (sender, receiver)
 }
--- a/forwarder/server/tests/shutdown.rs
+++ b/forwarder/server/tests/shutdown.rs
@@ -12,33 +12,33 @@
 use rstest::rstest;
 use serde_json::Value;
 
-use peers::successor::hello;
+use peers::successor::send_hello;
 use peers::*;
 
 /// A connection whose request was half read before the end was asked for; its body has not come.
 fn half_read(forwarder: &Forwarder, id: &str) -> TcpStream {
-    let mut half = TcpStream::connect(forwarder.address).expect("listens");
-    let request = event(id, "job", "Expect: 100-continue\r\n");
+    let mut half = TcpStream::connect(forwarder.address).expect("connects");
+    let request = event_request(id, "job", "Expect: 100-continue\r\n");
     half.write_all(&request[..request.len() - 4])
-        .expect("takes it");
-    assert_eq!(answer(&mut half).0, 100, "its head was read");
+        .expect("write succeeds");
+    assert_eq!(read_response(&mut half).0, 100, "its head was read");
     half
 }
 
 fn ends(mut forwarder: Forwarder) {
-    assert!(forwarder.child.wait().expect("ends").success());
+    assert!(forwarder.child.wait().expect("process exits").success());
 }
 
 #[rstest]
 fn every_request_that_lies_behind_another_is_answered_and_none_sent_on() {
-    let (forwarder, calls, _notices, _) = all(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let mut stream = half_read(&forwarder, "a");
     forwarder.signal("-TERM");
-    forwarder.logged("shutdown started");
-    let behind = [event("b", "job", ""), event("c", "job", "")].concat();
+    forwarder.wait_for_log("shutdown started");
+    let behind = [event_request("b", "job", ""), event_request("c", "job", "")].concat();
     stream
         .write_all(&[&b"body"[..], &behind].concat())
-        .expect("takes it");
+        .expect("write succeeds");
     stream.set_read_timeout(Some(LONG)).expect("a socket");
     let mut from = BufReader::new(stream);
     let heads: Vec<String> = std::iter::from_fn(|| read_message(&mut from))
@@ -61,22 +61,22 @@
 /// until after.
 #[rstest]
 fn who_comes_in_the_turn_of_the_end_gets_an_answer() {
-    let (forwarder, calls, _notices, _) = all(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.signal("-TERM");
-    forwarder.logged("shutdown started");
-    forwarder.stop();
+    forwarder.wait_for_log("shutdown started");
+    forwarder.suspend();
     // Past the second that it stays at least; it cannot end meanwhile.
     thread::sleep(Duration::from_millis(1200));
-    let mut late = TcpStream::connect(forwarder.address).expect("the kernel takes it");
-    late.write_all(&event("late", "job", ""))
-        .expect("the kernel takes it");
+    let mut late = TcpStream::connect(forwarder.address).expect("the kernel accepts it");
+    late.write_all(&event_request("late", "job", ""))
+        .expect("the kernel accepts it");
     forwarder.signal("-CONT");
-    let (status, head) = answer(&mut late);
+    let (status, head) = read_response(&mut late);
     assert!(
         status == 503 && head.contains("Connection: close\r\n"),
         "{head}"
     );
-    assert_eq!(late.read(&mut [0]).expect("closed in order"), 0);
+    assert_eq!(late.read(&mut [0]).expect("closed cleanly"), 0);
     ends(forwarder);
     assert!(calls.try_recv().is_err());
 }
@@ -85,21 +85,21 @@
 /// nothing new.
 #[rstest]
 fn signals_are_heeded_while_it_ends() {
-    let (forwarder, calls, notices, _) = all(usize::MAX, |_| ());
-    forwarder.take("a", "charge", CHARGE);
-    next(&calls).answer(ERROR);
-    assert_eq!(next(&notices), given_up("a"));
+    let (forwarder, calls, notices, _) = start_with_stand_ins(usize::MAX, |_| ());
+    forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
+    receive(&calls).answer(ERROR);
+    assert_eq!(receive(&notices), given_up_notice("a"));
     forwarder.signal("-TERM");
-    forwarder.logged("shutdown started");
+    forwarder.wait_for_log("shutdown started");
     forwarder.signal("-TERM");
-    let (moved, _watches, heard) = discovery(0);
+    let (moved, _watches, heard) = discovery_stand_in(0);
     let path = forwarder.folder.join("config.json");
     let mut config: Value =
-        serde_json::from_slice(&std::fs::read(&path).expect("there")).expect("JSON");
+        serde_json::from_slice(&std::fs::read(&path).expect("file exists")).expect("JSON");
     config["discovery"] = moved.to_string().into();
     std::fs::write(&path, config.to_string()).expect("written");
     forwarder.signal("-HUP");
-    assert_eq!(next(&heard), given_up("a"));
+    assert_eq!(receive(&heard), given_up_notice("a"));
     ends(forwarder);
 }
 
@@ -107,18 +107,20 @@
 /// have not read.
 #[rstest]
 fn it_ends_beside_clients_that_rest_and_targets_that_hang() {
-    let (forwarder, calls, _notices, _) = all(0, |_| ());
-    let mut rests = TcpStream::connect(forwarder.address).expect("listens");
-    rests.write_all(&event("a", "order", "")).expect("takes it");
-    assert_eq!(answer(&mut rests).0, 202);
-    let hangs = next(&calls);
+    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let mut rests = TcpStream::connect(forwarder.address).expect("connects");
+    rests
+        .write_all(&event_request("a", "order", ""))
+        .expect("write succeeds");
+    assert_eq!(read_response(&mut rests).0, 202);
+    let hangs = receive(&calls);
     let mut half = half_read(&forwarder, "b");
     forwarder.signal("-TERM");
     rests.set_read_timeout(Some(LONG)).expect("a socket");
-    assert_eq!(rests.read(&mut [0]).expect("closed in order"), 0);
-    half.write_all(b"body").expect("takes it");
-    assert_eq!(answer(&mut half).0, 503);
-    let late = forwarder.ask(&event("c", "job", ""));
+    assert_eq!(rests.read(&mut [0]).expect("closed cleanly"), 0);
+    half.write_all(b"body").expect("write succeeds");
+    assert_eq!(read_response(&mut half).0, 503);
+    let late = forwarder.exchange(&event_request("c", "job", ""));
     assert!(
         late.0 == 503 && late.1.contains("Connection: close\r\n"),
         "{late:?}"
@@ -132,29 +134,31 @@
 /// the new one's.
 #[rstest]
 fn one_that_takes_over_in_the_end_has_all_that_come_from_then_on() {
-    let (forwarder, _calls, _notices, _) = all(0, |_| ());
-    forwarder.until_ready();
-    let (sender, mut receiver) = hello(&forwarder.folder, PROTOCOL_VERSION);
+    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    forwarder.wait_until_ready();
+    let (sender, mut receiver) = send_hello(&forwarder.folder, PROTOCOL_VERSION);
     let Ok((Message::State(_), Some(listener))) = block_on(receiver.receive()) else {
         panic!("the decisions stand still")
     };
-    block_on(sender.send(&Message::Prepared, None)).expect("told");
+    block_on(sender.send(&Message::Prepared, None)).expect("message sent");
     assert!(matches!(
         block_on(receiver.receive()),
         Ok((Message::Ownership, Some(_)))
     ));
     forwarder.signal("-TERM");
-    forwarder.logged("shutdown started");
-    block_on(sender.send(&Message::Activated, None)).expect("told");
-    forwarder.logged("handed over to successor");
-    let mut client = TcpStream::connect(forwarder.address).expect("listens");
-    client.write_all(&event("a", "job", "")).expect("takes it");
+    forwarder.wait_for_log("shutdown started");
+    block_on(sender.send(&Message::Activated, None)).expect("message sent");
+    forwarder.wait_for_log("handed over to successor");
+    let mut client = TcpStream::connect(forwarder.address).expect("connects");
+    client
+        .write_all(&event_request("a", "job", ""))
+        .expect("write succeeds");
     ends(forwarder);
     // It lies in the queue all the while.
     let (stream, _) = TcpListener::from(listener)
         .accept()
-        .expect("is left to the new process");
+        .expect("connection is left to the new process");
     stream.set_nonblocking(false).expect("a socket");
-    let (head, _) = read_message(&mut BufReader::new(stream)).expect("its request");
+    let (head, _) = read_message(&mut BufReader::new(stream)).expect("the request");
     assert!(head.contains("Req-Id: a\r\n"), "{head}");
 }
--- a/forwarder/server/tests/stored_format.rs
+++ b/forwarder/server/tests/stored_format.rs
@@ -35,7 +35,7 @@
 }
 
 fn list_at(address: SocketAddr) -> String {
-    let list = fs::read_to_string(fixture().join("list")).expect("there");
+    let list = fs::read_to_string(fixture().join("list")).expect("file exists");
     assert_eq!(list.matches(ADDRESS).count(), 1);
     list.replace(ADDRESS, &format!("{address}\""))
 }
@@ -109,11 +109,11 @@
 /// A forwarder over a copy of the folder, whose discovery cannot tell the whole list.
 fn found() -> Found {
     let (target, calls) = stand_in();
-    let (discovery, _watches, notices) = discovery(0);
+    let (discovery, _watches, notices) = discovery_stand_in(0);
     let mut config = config(discovery, target);
     // Older than the list in the folder.
     config["known"]["revision"] = json!(1);
-    let forwarder = Forwarder::start_with(&config, |folder| copy(folder, target));
+    let forwarder = Forwarder::start_prepared(&config, |folder| copy(folder, target));
     Found {
         forwarder,
         target,
@@ -163,8 +163,8 @@
     let key = |id| (id == "order").then(|| "f-order".to_owned());
     assert_eq!(called, ids.map(|id| (id.to_owned(), key(id))).into());
     let expected = [
-        given_up("charge-out"),
-        given_up("unheard"),
+        given_up_notice("charge-out"),
+        given_up_notice("unheard"),
         handed_back("unheard-wait", 1_500),
     ];
     let only_expected = |told: &[Value]| told.iter().all(|notice| expected.contains(notice));
@@ -173,8 +173,8 @@
         expected.iter().all(|notice| told.contains(notice)),
         "{told:?}"
     );
-    found.forwarder.take("fresh", "job", "");
-    let call = next(&found.calls);
+    found.forwarder.submit("fresh", "job", "");
+    let call = receive(&found.calls);
     assert_eq!(call.id(), "fresh", "nothing else was owed");
     call.answer(OK);
     let later: Vec<Value> = found.notices.try_iter().collect();
@@ -184,17 +184,24 @@
 #[rstest]
 fn list_disabled_targets_and_owner_stay_as_they_were_written() {
     let found = found();
-    found.forwarder.until_ready();
-    let read = |file: &str| fs::read_to_string(found.forwarder.folder.join(file)).expect("there");
+    found.forwarder.wait_until_ready();
+    let read =
+        |file: &str| fs::read_to_string(found.forwarder.folder.join(file)).expect("file exists");
     // The list is written anew at the start.
     assert_eq!(read("list"), list_at(found.target));
     assert_eq!(read("owner"), "n0");
-    let bans = fs::read_to_string(fixture().join("bans")).expect("there");
+    let bans = fs::read_to_string(fixture().join("bans")).expect("file exists");
     assert_eq!(read("bans"), bans);
     // `u` is disabled already; enabled and disabled again, it stands in the same record.
-    assert_eq!(found.forwarder.call("POST", "/-/targets/u/enable"), 200);
+    assert_eq!(
+        found.forwarder.call_admin("POST", "/-/targets/u/enable"),
+        200
+    );
     assert_ne!(read("bans"), bans);
-    assert_eq!(found.forwarder.call("POST", "/-/targets/u/disable"), 200);
+    assert_eq!(
+        found.forwarder.call_admin("POST", "/-/targets/u/disable"),
+        200
+    );
     assert_eq!(read("bans"), bans);
 }
 
@@ -207,7 +214,7 @@
     config["name"] = json!("n1");
     let file = folder.path().join("config.json");
     fs::write(&file, config.to_string()).expect("written");
-    let said = refused_start(&file, folder.path());
+    let said = expect_start_error(&file, folder.path());
     assert!(
         said.contains("the folder is \"n0\"'s, and PROXY_NAME is \"n1\""),
         "{said}"
--- a/forwarder/server/tests/watch_reconnects.rs
+++ b/forwarder/server/tests/watch_reconnects.rs
@@ -26,7 +26,7 @@
     fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
-            .expect("the connection stands");
+            .expect("connection is open");
     }
 }
 
@@ -96,12 +96,12 @@
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
     let (discovery, watches) = watched();
     let forwarder = Forwarder::start(&config(discovery, old));
-    let mut silent = next(&watches);
+    let mut silent = receive(&watches);
     match falls {
         Falls::Silent => (),
         Falls::HalfOpen => {
-            silent.write(&page(&[]));
-            let goes_on = next(&watches);
+            silent.write(&changes_response(&[]));
+            let goes_on = receive(&watches);
             assert_eq!(goes_on.connection, silent.connection);
             silent = goes_on;
         }
@@ -115,18 +115,18 @@
             });
         }
     }
-    let mut again = next(&watches);
+    let mut again = receive(&watches);
     assert_ne!(
         again.connection, silent.connection,
         "the silent one is not asked again"
     );
-    again.write(&page(&[
+    again.write(&changes_response(&[
         member("t", old, "draining"),
         member("u", new, "up"),
     ]));
-    next(&watches); // the page was handed on
-    forwarder.take("a", "job", "");
-    assert_eq!(next(&new_calls).id(), "a");
+    receive(&watches); // the page was handed on
+    forwarder.submit("a", "job", "");
+    assert_eq!(receive(&new_calls).id(), "a");
     assert!(old_calls.try_recv().is_err());
     again.came < silent.came + silent.wait + Duration::from_millis(1_500)
 }
@@ -144,18 +144,18 @@
     let by = Instant::now() + LONG;
     for _ in 0..12 {
         assert!(Instant::now() < by, "it stays away");
-        next(&watches)
+        receive(&watches)
             .stream
             .shutdown(std::net::Shutdown::Both)
             .expect("was open");
     }
-    next(&watches).write(&page(&[
+    receive(&watches).write(&changes_response(&[
         member("t", old, "removed"),
         member("u", new, "up"),
     ]));
-    next(&watches);
-    forwarder.take("a", "job", "");
-    assert_eq!(next(&new_calls).id(), "a");
+    receive(&watches);
+    forwarder.submit("a", "job", "");
+    assert_eq!(receive(&new_calls).id(), "a");
 }
 
 #[rstest]
@@ -169,13 +169,13 @@
         "\r\n\t{}\n",
         serde_json::to_string_pretty(&list).expect("is JSON")
     );
-    let mut watch = next(&watches);
+    let mut watch = receive(&watches);
     watch.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for line in text.split_inclusive('\n') {
         watch.write(&format!("{:x}\r\n{line}\r\n", line.len()));
     }
     watch.write("0\r\n\r\n");
-    next(&watches);
-    forwarder.take("a", "job", "");
-    assert_eq!(next(&new_calls).id(), "a");
+    receive(&watches);
+    forwarder.submit("a", "job", "");
+    assert_eq!(receive(&new_calls).id(), "a");
 }
--- a/forwarder/server/tests/wire_format.rs
+++ b/forwarder/server/tests/wire_format.rs
@@ -10,7 +10,7 @@
 
 use rstest::rstest;
 
-use peers::manual_discovery::{by_hand, list};
+use peers::manual_discovery::{list_response, manual_discovery};
 use peers::*;
 
 const PINNED: &str = include_str!("wire_format/requests.txt");
@@ -44,22 +44,22 @@
 #[rstest]
 fn calls_and_health_checks_are_sent_as_pinned() {
     let (target, calls) = stand_in();
-    let (discovery, _watches, _notices) = discovery(0);
+    let (discovery, _watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, target));
     let host = target.to_string();
-    forwarder.take("a", "order", "");
-    let call = next(&calls);
+    forwarder.submit("a", "order", "");
+    let call = receive(&calls);
     assert_eq!(without_deadline(&call.head), pinned("call", &host));
     assert_eq!(call.body, b"body");
     call.answer(OK);
     // Its connections break off until it is checked.
-    forwarder.take("b", "job", "");
+    forwarder.submit("b", "job", "");
     let by = Instant::now() + LONG;
     loop {
         assert!(Instant::now() < by, "no health check comes");
-        let call = next(&calls);
+        let call = receive(&calls);
         if call.head.starts_with("POST ") {
-            call.answer(&BREAK.to_string());
+            call.answer(&CLOSE_CONNECTION.to_string());
             continue;
         }
         assert_eq!(call.head, pinned("health-check", &host));
@@ -71,29 +71,29 @@
 #[rstest]
 fn discovery_is_asked_and_told_as_pinned() {
     let (target, calls) = stand_in();
-    let (discovery, requests) = by_hand();
+    let (discovery, requests) = manual_discovery();
     let host = discovery.to_string();
     let forwarder = Forwarder::start(&config(discovery, target));
     // The whole list is asked before the program listens, and its answer is waited for only for a
     // moment.
-    let mut whole = next(&requests);
+    let mut whole = receive(&requests);
     assert_eq!(whole.head, pinned("list", &host));
-    whole.write(&list(42, true, &[member("t", target, "up")]));
-    let watch = std::iter::repeat_with(|| next(&requests))
+    whole.write(&list_response(42, true, &[member("t", target, "up")]));
+    let watch = std::iter::repeat_with(|| receive(&requests))
         .find(|request| request.is_watch())
-        .expect("endless");
-    let wait = watch.number("timeout_ms");
-    let revision = watch.number("since");
+        .expect("iterator is endless");
+    let wait = watch.query_number("timeout_ms");
+    let revision = watch.query_number("since");
     let expected = pinned("watch", &host);
     let expected = expected
         .replace("{revision}", &revision.to_string())
         .replace("{ms}", &wait.to_string());
     assert_eq!(watch.head, expected);
-    forwarder.take("a", "charge", "Cookie: about=5\r\n");
-    next(&calls).answer(ERROR);
-    let notice = std::iter::repeat_with(|| next(&requests))
+    forwarder.submit("a", "charge", "Cookie: about=5\r\n");
+    receive(&calls).answer(ERROR);
+    let notice = std::iter::repeat_with(|| receive(&requests))
         .find(|request| request.head.starts_with("POST "));
-    let notice = notice.expect("endless");
+    let notice = notice.expect("iterator is endless");
     assert_eq!(notice.head, pinned("notice", &host));
     assert_eq!(
         String::from_utf8_lossy(&notice.body),
@@ -103,28 +103,37 @@
 
 #[rstest]
 fn clients_and_operators_are_answered_as_pinned() {
-    let (forwarder, calls, _notices, _watches) = all(0, |_| ());
-    let client = |request: &[u8]| forwarder.ask(request).1;
+    let (forwarder, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let client = |request: &[u8]| forwarder.exchange(request).1;
     let operator = |request: &str| {
-        let mut stream = TcpStream::connect(forwarder.mgmt).expect("listens");
-        write!(stream, "{request} HTTP/1.1\r\nHost: x\r\n\r\n").expect("takes it");
+        let mut stream = TcpStream::connect(forwarder.mgmt).expect("connects");
+        write!(stream, "{request} HTTP/1.1\r\nHost: x\r\n\r\n").expect("write succeeds");
         read_message(&mut BufReader::new(stream))
             .expect("an answer")
             .0
     };
-    forwarder.until_ready();
+    forwarder.wait_until_ready();
     assert_eq!(
         client(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n"),
         pinned("up", "")
     );
-    assert_eq!(client(&event("a", "job", "")), pinned("accepted", ""));
-    assert_eq!(client(&event("a", "job", "")), pinned("rejected", ""));
-    assert_eq!(client(&event("b", "none", "")), pinned("no-such-type", ""));
+    assert_eq!(
+        client(&event_request("a", "job", "")),
+        pinned("accepted", "")
+    );
+    assert_eq!(
+        client(&event_request("a", "job", "")),
+        pinned("rejected", "")
+    );
+    assert_eq!(
+        client(&event_request("b", "none", "")),
+        pinned("no-such-type", "")
+    );
     assert_eq!(
         client(b"GET /job HTTP/1.1\r\nHost: x\r\n\r\n"),
         pinned("method", "")
     );
-    assert_eq!(client(&event("", "job", "")), pinned("no-id", ""));
+    assert_eq!(client(&event_request("", "job", "")), pinned("no-id", ""));
     assert_eq!(operator("GET /-/ready"), pinned("operator-ready", ""));
     assert_eq!(operator("POST /-/ready"), pinned("operator-method", ""));
     assert_eq!(operator("GET /-/none"), pinned("operator-none", ""));
@@ -137,5 +146,5 @@
         operator("GET /-/ready"),
         pinned("operator-ready-while-drained", "")
     );
-    next(&calls).answer(OK);
+    receive(&calls).answer(OK);
 }
