--- a/forwarder/server/tests/admin_callers.rs
+++ b/forwarder/server/tests/admin_callers.rs
@@ -1,5 +1,5 @@
-//! The operators' address under callers that come all at once or hold on to their answered
-//! connections.
+//! The admin address under many simultaneous callers, and under callers that keep connections open
+//! after their response.
 
 mod peers;
 
@@ -11,11 +11,11 @@
 
 use peers::*;
 
-/// More than there are places, several times over.
-const MANY: usize = 60;
+/// Several times the limit of admin connections.
+const CALLERS: usize = 60;
 
 #[rstest]
-fn each_of_many_callers_that_come_at_once_gets_an_answer() {
+fn each_of_many_simultaneous_callers_gets_a_response() {
     let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.wait_until_ready();
     forwarder.suspend();
@@ -26,23 +26,24 @@
             .expect("the kernel accepts it");
         caller
     };
-    let callers: Vec<TcpStream> = (0..MANY).map(call).collect();
+    let callers: Vec<TcpStream> = (0..CALLERS).map(call).collect();
     forwarder.signal("-CONT");
-    // None of them closes before all have their answer.
+    // No caller closes its connection before all have their response.
     for mut caller in &callers {
-        let mut said = String::new();
+        let mut response = String::new();
         caller.set_read_timeout(Some(LONG)).expect("a socket");
         caller
-            .read_to_string(&mut said)
+            .read_to_string(&mut response)
             .expect("closed cleanly, not reset");
-        assert!(said.starts_with("HTTP/1.1 200 "), "{said}");
+        assert!(response.starts_with("HTTP/1.1 200 "), "{response}");
     }
 }
 
-/// Bodies that never end and hardly grow, as fast as they can be sent: each is broken off soon,
-/// whatever its chunks weigh, and callers have their answers all the while.
+/// Clients send endless bodies in chunks of one byte with long extensions, as fast as they can:
+/// each connection is soon closed, however long the chunk extensions are, and admin callers keep
+/// getting responses.
 #[rstest]
-fn bodies_that_hardly_grow_hold_up_no_caller_and_are_broken_off() {
+fn endless_bodies_with_long_chunk_extensions_are_aborted_and_delay_no_caller() {
     let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.wait_until_ready();
     let head = String::from_utf8(event_request("a", "job", "")).unwrap();
@@ -65,11 +66,11 @@
         for _ in 0..10 {
             assert_eq!(forwarder.call_admin("GET", "/-/ready"), 200);
         }
-        // What the kernel holds on the way comes on top. The bytes of a body alone would allow 256
-        // MiB.
+        // The bound includes the bytes in socket buffers. The limit on the bytes of a body alone
+        // would allow 256 MiB.
         let written: Vec<usize> = floods
             .into_iter()
-            .map(|flood| flood.join().expect("process exits"))
+            .map(|flood| flood.join().expect("thread ends"))
             .collect();
         assert!(written.iter().all(|bytes| *bytes < 32 << 20), "{written:?}");
     });
