--- a/forwarder/server/tests/bad_targets.rs
+++ b/forwarder/server/tests/bad_targets.rs
@@ -1,4 +1,4 @@
-//! Targets that answer what they should not, without an end, or when nothing was asked.
+//! Targets with invalid, endless or unsolicited responses.
 
 mod peers;
 
@@ -14,10 +14,10 @@
 use peers::held::read_until_closed;
 use peers::*;
 
-/// An answer that goes on for as long as the connection stands: it ends its connection, frees the
-/// one slot there is, and takes no memory and no descriptor.
+/// A response that continues for as long as the connection is open: the forwarder closes the
+/// connection, frees the only slot, and keeps no memory and no descriptor in use.
 #[rstest]
-#[case::interim_answers("", "HTTP/1.1 100 Go\r\n\r\n", false)]
+#[case::interim_responses("", "HTTP/1.1 100 Go\r\n\r\n", false)]
 #[case::head_byte_by_byte("HTTP/1.1 503 Full\r\n", "a", true)]
 #[case::head_of_many_fields("HTTP/1.1 503 Full\r\n", "Field: value\r\n", false)]
 #[case::first_line_without_end("HTTP/1.1 503 ", "Full", false)]
@@ -33,15 +33,15 @@
     false
 )]
 #[case::body_until_close("HTTP/1.1 503 Full\r\n\r\n", "body", false)]
-#[case::claimed(
+#[case::long_content_length(
     "HTTP/1.1 503 Full\r\nContent-Length: 3000000000\r\n\r\n",
     "body",
     false
 )]
-#[case::many_answers("", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", false)]
-fn an_answer_without_an_end_frees_its_slot(
-    #[case] begins: &str,
-    #[case] goes_on: &str,
+#[case::many_responses("", "HTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", false)]
+fn an_endless_response_frees_its_slot(
+    #[case] start: &str,
+    #[case] repeated: &str,
     #[case] slowly: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -60,17 +60,17 @@
     }
     let (ended, ends) = channel();
     let mut served = Vec::new();
-    // Each of the two once without an end, and once well.
+    // The first two calls get an endless response, each later one a valid response.
     for number in 0.. {
         let (mut stream, _) = listener.accept().expect("a new connection");
         let (head, _) = read_message(&mut BufReader::new(&mut stream)).expect("a call");
-        // Two that ran into the call's time-out would be followed by a ping.
+        // Two calls that ended by their time-out would be followed by a health check.
         assert!(head.starts_with("POST /receive "), "{head}");
         if number < 2 {
-            let (begins, goes_on, ended) = (begins.to_owned(), goes_on.to_owned(), ended.clone());
+            let (start, repeated, ended) = (start.to_owned(), repeated.to_owned(), ended.clone());
             thread::spawn(move || {
-                let _ = stream.write_all(begins.as_bytes());
-                while stream.write_all(goes_on.as_bytes()).is_ok() {
+                let _ = stream.write_all(start.as_bytes());
+                while stream.write_all(repeated.as_bytes()).is_ok() {
                     thread::sleep(Duration::from_millis(if slowly { 10 } else { 0 }));
                 }
                 let _ = ended.send(());
@@ -91,7 +91,7 @@
             break;
         }
     }
-    // Both were ended from the other side.
+    // The forwarder closed both connections.
     (0..2).for_each(|_| receive(&ends));
     let status = std::fs::read_to_string(format!("/proc/{}/status", forwarder.child.id()))
         .expect("process is running");
@@ -105,14 +105,14 @@
         .parse()
         .expect("a number");
     assert!(kilobytes < 50_000, "{kilobytes} kB");
-    // Discovery's two, one for operators, and what the two clients and targets may not have closed
-    // yet.
+    // Two connections to discovery, one admin connection, and those of the two clients and targets
+    // that may not be closed yet.
     let more = descriptors() - before;
-    assert!(more <= 8, "{more} descriptors more");
+    assert!(more <= 8, "{more} more descriptors");
 }
 
-/// Answers the first call, and hands over its connection.
-fn idle(forwarder: &Forwarder, listener: &TcpListener) -> TcpStream {
+/// Answers the first call; returns its connection, which stays open.
+fn answer_first_call(forwarder: &Forwarder, listener: &TcpListener) -> TcpStream {
     forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
     let (mut stream, _) = listener.accept().expect("connection is established");
     read_message(&mut BufReader::new(&mut stream)).expect("a call");
@@ -120,13 +120,14 @@
     stream
 }
 
-/// Half a line of nobody's answer lies in an idle connection: the next call does not go there.
+/// An idle connection holds half a line of an unsolicited response: the next call uses another
+/// connection.
 #[rstest]
 fn a_connection_with_unread_bytes_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (discovery, _watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, listener.local_addr().expect("bound")));
-    let mut first = idle(&forwarder, &listener);
+    let mut first = answer_first_call(&forwarder, &listener);
     first
         .write_all(b"HTTP/1.1 200 O")
         .expect("connection is open");
@@ -137,23 +138,24 @@
     assert_eq!(read_until_closed(&mut first), "");
 }
 
-/// The target closes idle connections after a time, and a request written from then on is lost:
-/// ours end before.
+/// A target closes idle connections after a time, and a request written from then on is lost: the
+/// forwarder closes its idle connections before.
 #[rstest]
-#[case::at_rest(false)]
-#[case::over_a_stall(true)]
-fn a_connection_that_stood_idle_for_its_time_is_not_used_again(#[case] stalls: bool) {
+#[case::idle(false)]
+#[case::suspended(true)]
+fn a_connection_past_its_keepalive_time_is_not_used_again(#[case] suspends: bool) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let (discovery, _watches, _notices) = discovery_stand_in(0);
     let mut config = config(discovery, listener.local_addr().expect("bound"));
     config["settings"]["allowed"]["keepaliveUs"] = json!(1_000_000);
     let forwarder = Forwarder::start(&config);
-    let mut first = idle(&forwarder, &listener);
-    if !stalls {
+    let mut first = answer_first_call(&forwarder, &listener);
+    if !suspends {
         assert_eq!(first.read(&mut [0]).expect("closed cleanly"), 0);
         return;
     }
-    // The answer has been read and the connection is back: it was there before either of these two.
+    // The response arrived before either of these two requests: it has been read, and the
+    // connection is idle.
     (0..2).for_each(|_| forwarder.wait_until_ready());
     forwarder.suspend();
     thread::sleep(Duration::from_millis(1000));
