--- a/forwarder/server/tests/calls.rs
+++ b/forwarder/server/tests/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to targets, and what their answers tell.
+//! Calls to targets, and the outcomes of their responses.
 
 mod peers;
 
@@ -26,15 +26,19 @@
 #[case("charge", "HTTP/1.1 200 OHTTP/1.1 503 Full\r\nContent-Length: 0\r\n\r\n", &[])]
 #[case("job", "", &["again"])]
 #[case("order", "HTTP/1.1 500 Oh\r\nContent-Length: 9\r\n\r\nshort", &["again"])]
-fn answers_good_and_bad(#[case] traffic: &str, #[case] said: &str, #[case] then: &[&str]) {
+fn valid_and_malformed_responses(
+    #[case] traffic: &str,
+    #[case] response: &str,
+    #[case] expected: &[&str],
+) {
     let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.submit("a", traffic, "Cookie: about=5\r\n");
-    receive(&calls).answer(&format!("{said}{CLOSE_CONNECTION}"));
-    match then {
+    receive(&calls).answer(&format!("{response}{CLOSE_CONNECTION}"));
+    match expected {
         [] => assert_eq!(receive(&notices), given_up_notice("a")),
         ["again"] => assert_eq!(receive(&calls).id(), "a"),
         _ => {
-            // It is over: the next of its key goes, and no notice does.
+            // The event is complete: the next event of its order key is sent, and no notice is.
             forwarder.submit("b", "charge", "Cookie: about=5\r\n");
             assert_eq!(receive(&calls).id(), "b");
             assert!(notices.try_recv().is_err());
@@ -42,19 +46,19 @@
     }
 }
 
-/// Guards against spoilt answers, which tell nothing of a target's health: they come at once and it
-/// is not taken offline for them, nor is the connection used again, which stays open.
+/// Malformed responses are no evidence of a target's health: they arrive at once, and the target is
+/// not taken offline for them. Their connection stays open but is not used again.
 #[rstest]
 #[case("\u{7}\u{7f}noise\r\n")]
 #[case("HTTP/1.1 500 Oh\r\nContent-Length: -2\r\n\r\n")]
 #[case("HTTP/1.1 500 Oh\r\nand no end")]
-fn spoilt_answers_take_no_target_offline(#[case] said: &str) {
+fn malformed_responses_take_no_target_offline(#[case] response: &str) {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.submit("a", "job", "");
     for _ in 0..3 {
         let call = receive(&calls);
         assert!(call.head.starts_with("POST /receive "), "{}", call.head);
-        call.answer(said);
+        call.answer(response);
     }
     let call = receive(&calls);
     assert!(call.head.starts_with("POST /receive "), "{}", call.head);
@@ -74,15 +78,15 @@
         stream
             .shutdown(std::net::Shutdown::Both)
             .expect("shutdown succeeds");
-        // Its end of the connection closes once it has seen ours close.
+        // The forwarder closes its end once it has seen this end close.
         while !matches!(stream.read(&mut [0; 64]), Ok(0) | Err(_)) {}
     }
 }
 
-/// At rest a target has no actor; the wait only makes sure of that, the verdict does not hang on
-/// it.
+/// An idle target has no actor. The wait only makes sure of that; the result of the test does not
+/// depend on it.
 #[rstest]
-fn a_target_that_came_to_rest_is_called_again() {
+fn an_idle_target_is_called_again() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     for id in ["a", "b"] {
         forwarder.submit(id, "job", "");
@@ -93,20 +97,20 @@
     }
 }
 
-/// Met before service: ten thousand idle targets took 270 MB, since each had an actor and its
-/// mailbox.
+/// Guards against an actor and a mailbox for each idle target, with which ten thousand targets took
+/// 270 MB.
 #[rstest]
 #[case::few_slots(4)]
 #[case::many_slots(1024)]
-fn ten_thousand_destinations_at_rest_take_little_at_any_number_of_slots(#[case] slots: usize) {
+fn ten_thousand_idle_destinations_take_little_memory_at_any_number_of_slots(#[case] slots: usize) {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
-        let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
+        let unused = SocketAddr::from(([127, 0, 0, 1], 9));
         let members = config
             .pointer_mut("/known/members")
             .and_then(Value::as_array_mut)
             .expect("a list");
         members.extend((2..10_002).map(|cell| {
-            let mut entry = member(&format!("t{cell}"), nobody, "up");
+            let mut entry = member(&format!("t{cell}"), unused, "up");
             entry["cell"] = json!(cell);
             entry
         }));
@@ -128,14 +132,14 @@
     assert!(kilobytes < 50_000, "{kilobytes} kB for 10,000 destinations");
 }
 
-/// A first line that says 200 is true, and whoever stops short after it pins no slot: there is one
-/// here, and the next of the key wants it. A call taken for unanswered would be written off as one
-/// that may have run.
+/// A status line with 200 completes its event, and a target that stops sending after it blocks no
+/// slot: there is one slot here, which the next event of the order key needs. A call that counted
+/// as unanswered would be given up as one that may have run.
 #[rstest]
 #[case::within_its_head("HTTP/1.1 200 OK\r\nContent-Le")]
 #[case::within_its_body("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")]
 #[case::without_an_end("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")]
-fn an_answer_that_says_200_and_stops_short_ends_its_event_and_frees_its_slot(#[case] said: &str) {
+fn a_truncated_200_response_completes_its_event_and_frees_its_slot(#[case] response: &str) {
     let (forwarder, calls, notices, _) = start_with_stand_ins(0, |config| {
         config["settings"]["familyInfo"]["slots"] = json!(1)
     });
@@ -146,7 +150,7 @@
     for id in &ids {
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(said);
+        call.answer(response);
     }
     forwarder.submit("last", "job", "");
     assert_eq!(receive(&calls).id(), "last");
