--- a/forwarder/server/tests/clients.rs
+++ b/forwarder/server/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: those that ask well, badly or not at all.
+//! Client connections with valid, invalid, incomplete or no requests.
 
 mod peers;
 
@@ -36,31 +36,35 @@
     "POST /job HTTP/1.1\r\nHost: x\r\nReq-Id: a\r\nReq-Deadline: 1\r\nX-Envelope: dest=1\r\nContent-Length: 65537\r\n\r\n",
     413
 )]
-fn bad_input_is_refused_and_harms_nobody_else(#[case] request: &str, #[case] status: u16) {
+fn invalid_input_is_rejected_and_affects_no_other_client(
+    #[case] request: &str,
+    #[case] status: u16,
+) {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     assert_eq!(forwarder.exchange(request.as_bytes()).0, status);
     forwarder.submit("good", "job", "");
     assert_eq!(receive(&calls).id(), "good");
 }
 
-/// Returns once the other side's kernel knows: on a busy machine it may take a moment.
-fn leave(stream: TcpStream) {
+/// Closes the connection; returns once the other side's socket is in `CLOSE_WAIT`, which may take a
+/// moment on a busy machine.
+fn close_and_wait(stream: TcpStream) {
     let port = stream.local_addr().expect("connected").port();
     drop(stream);
-    // As /proc has it: the peer's address and port, then CLOSE_WAIT.
+    // In /proc/net/tcp: the peer's address and port, then CLOSE_WAIT.
     let closed = format!(":{port:04X} 08 ");
     let by = Instant::now() + LONG;
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .contains(&closed)
     {
-        assert!(Instant::now() < by, "the end does not come");
+        assert!(Instant::now() < by, "the connection is not closed");
         thread::sleep(Duration::from_millis(1));
     }
 }
 
 #[rstest]
-fn a_client_that_left_before_its_answer_took_its_event_back() {
+fn a_client_that_closes_before_its_response_withdraws_its_event() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let mut stream = TcpStream::connect(forwarder.address).expect("connects");
     stream
@@ -72,25 +76,25 @@
     stream
         .write_all(&event_request("left", "job", ""))
         .expect("the kernel accepts it");
-    leave(stream);
+    close_and_wait(stream);
     forwarder.signal("-CONT");
     forwarder.submit("stays", "job", "");
     assert_eq!(receive(&calls).id(), "stays");
 }
 
-/// Guards the others from connections that say nothing, or half of something, in any number: they
-/// make room at once, and are closed before anyone else is turned away.
+/// Guards other clients against any number of connections without a request or with an incomplete
+/// one: those are closed at once when the limit is reached, before any other client is rejected.
 #[rstest]
 #[case("")]
 #[case("POST /job HTTP/1.1\r\n")]
-fn connections_that_ask_for_nothing_make_room(#[case] said: &str) {
+fn connections_without_a_request_are_closed_for_others(#[case] sent: &str) {
     let (forwarder, calls, _notices, _) =
         start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
     let mut idle: Vec<_> = (0..100)
         .map(|_| TcpStream::connect(forwarder.address).expect("connects"))
         .collect();
     for stream in &mut idle {
-        let _ = stream.write_all(said.as_bytes());
+        let _ = stream.write_all(sent.as_bytes());
     }
     forwarder.submit("a", "job", "");
     assert_eq!(receive(&calls).id(), "a");
@@ -100,10 +104,10 @@
     }
 }
 
-/// Met in incident rd2f32b: of a crowd each asks once and stays; who asks again and again is served
-/// on.
+/// Guards against incident rd2f32b, in which each of many clients sent one request and kept its
+/// connection open: a client that keeps sending requests is still served.
 #[rstest]
-fn a_crowd_that_asks_once_and_stays_makes_room_before_a_regular() {
+fn connections_with_one_request_are_closed_before_one_with_more() {
     let (forwarder, calls, _notices, _) =
         start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
     let up = |stream: &mut TcpStream| {
@@ -112,28 +116,28 @@
             .expect("write succeeds");
         assert_eq!(read_response(stream).0, 200);
     };
-    let mut regular = TcpStream::connect(forwarder.address).expect("connects");
-    (0..2).for_each(|_| up(&mut regular));
-    let mut crowd = Vec::new();
+    let mut active = TcpStream::connect(forwarder.address).expect("connects");
+    (0..2).for_each(|_| up(&mut active));
+    let mut one_request_each = Vec::new();
     for _ in 0..60 {
         let mut stream = TcpStream::connect(forwarder.address).expect("connects");
         up(&mut stream);
-        crowd.push(stream);
+        one_request_each.push(stream);
     }
-    regular
+    active
         .write_all(&event_request("a", "job", ""))
         .expect("write succeeds");
-    assert_eq!(read_response(&mut regular).0, 202);
+    assert_eq!(read_response(&mut active).0, 202);
     assert_eq!(receive(&calls).id(), "a");
 }
 
-/// Met on a day with a crowd: connections that asked once and stayed took all that clients may
-/// open.
+/// Guards against connections that stay open after one request, which used up the number that
+/// clients may open.
 #[rstest]
-fn where_many_are_open_one_that_asked_once_is_closed_long_before_a_regular() {
+fn with_many_open_a_connection_with_one_request_is_closed_long_before_one_with_more() {
     let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
-    let asked = |times: usize| {
+    let connection_with = |times: usize| {
         let mut stream = TcpStream::connect(forwarder.address).expect("connects");
         for _ in 0..times {
             stream.write_all(up).expect("write succeeds");
@@ -141,21 +145,22 @@
         }
         stream
     };
-    let crowd: Vec<_> = (0..60).map(|_| asked(1)).collect();
-    let regular = asked(2);
-    let mut last = crowd.into_iter().next_back().expect("connected");
+    let one_request_each: Vec<_> = (0..60).map(|_| connection_with(1)).collect();
+    let active = connection_with(2);
+    let mut last = one_request_each.into_iter().next_back().expect("connected");
     last.set_read_timeout(Some(LONG)).expect("a socket");
     assert_eq!(last.read(&mut [0]).expect("end of stream"), 0);
-    regular.set_nonblocking(true).expect("a socket");
-    let open = regular
+    active.set_nonblocking(true).expect("a socket");
+    let open = active
         .peek(&mut [0])
         .expect_err("neither data nor end of stream");
     assert_eq!(open.kind(), std::io::ErrorKind::WouldBlock);
 }
 
-/// Guards the others while hundreds connect at once: nobody waits for a second try of the kernel's.
+/// Guards clients while hundreds connect at once: none of them has to wait for the kernel to repeat
+/// its SYN.
 #[rstest]
-fn hundreds_may_connect_while_it_stands_still() {
+fn hundreds_may_connect_while_the_process_is_suspended() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.suspend();
     let connect = |_| TcpStream::connect_timeout(&forwarder.address, Duration::from_secs(20));
@@ -169,18 +174,18 @@
     assert_eq!(receive(&calls).id(), "a");
 }
 
-/// Guards an event's end from a client whose request comes in pieces: its patience began with the
-/// first of them.
+/// Guards an event's deadline when a client's request arrives in pieces: the time in `Req-Deadline`
+/// runs from the first of them.
 #[rstest]
 #[case::first(false)]
-#[case::behind_another(true)]
-fn patience_counts_from_the_first_byte_of_a_request(#[case] behind: bool) {
+#[case::pipelined(true)]
+fn the_deadline_counts_from_the_first_byte_of_a_request(#[case] pipelined: bool) {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let request = String::from_utf8(event_request("a", "job", "Expect: 100-continue\r\n")).unwrap();
     let request = request.replace("Req-Deadline: 60", "Req-Deadline: 1.2");
     let (head, body) = request.split_at(request.len() - 4);
     let mut stream = TcpStream::connect(forwarder.address).expect("connects");
-    let before = if behind {
+    let before = if pipelined {
         event_request("before", "job", "")
     } else {
         Vec::new()
@@ -191,27 +196,27 @@
     stream.set_read_timeout(Some(LONG)).expect("a socket");
     let mut answers = BufReader::new(stream.try_clone().expect("a descriptor"));
     let mut status = move || read_message(&mut answers).expect("an answer").0[9..12].to_owned();
-    if behind {
+    if pipelined {
         assert_eq!(status(), "202");
         receive(&calls).answer(OK);
     }
-    assert_eq!(status(), "100", "its first byte was seen");
+    assert_eq!(status(), "100", "its head was read");
     thread::sleep(Duration::from_millis(400));
     stream.write_all(body.as_bytes()).expect("write succeeds");
     let call = receive(&calls);
-    let gives: f64 = call
+    let remaining: f64 = call
         .field("Req-Deadline")
         .expect("field is present")
         .parse()
         .expect("seconds");
-    // However slow the machine is, the end that is given lies before that of the patience.
-    assert!(gives > 0.0 && gives <= 0.8, "{gives} s");
+    // However slow the machine is, the deadline sent to the target is not after the client's.
+    assert!(remaining > 0.0 && remaining <= 0.8, "{remaining} s");
     assert_eq!(status(), "202");
     call.answer(OK);
 }
 
 #[rstest]
-fn the_longest_body_in_chunks_of_one_byte_is_taken_whole() {
+fn the_longest_body_in_chunks_of_one_byte_is_accepted() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let head = String::from_utf8(event_request("a", "job", "")).unwrap();
     let head = head.replace(
