--- a/forwarder/server/tests/concurrent_starts.rs
+++ b/forwarder/server/tests/concurrent_starts.rs
@@ -1,5 +1,6 @@
-//! Thirty processes started at once over full ledgers, while discovery refuses, is mute, trickles,
-//! or answers after a time: each is ready within the page's ten seconds. The times are printed.
+//! Thirty processes start at once with full event logs, while discovery refuses connections, does
+//! not respond or trickles its response: nine in ten are ready within the required ten seconds. The
+//! times are printed.
 
 mod peers;
 
@@ -16,20 +17,21 @@
 use peers::*;
 
 const PROCESSES: usize = 30;
-/// Of the page: nine in ten restarted processes are ready by then.
-const BOUND: Duration = Duration::from_secs(10);
-/// As the configuration of the stories has it.
-const DISK: u64 = 3_000_000;
+/// Required: nine in ten restarted processes are ready within this time.
+const READY_LIMIT: Duration = Duration::from_secs(10);
+/// `limits.disk_mb` of the tests' configuration, in bytes.
+const MAX_DISK_BYTES: u64 = 3_000_000;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Discovery {
-    Refuses,
-    Mute,
-    Trickles,
+enum DiscoveryMode {
+    RefusesConnections,
+    Unresponsive,
+    Trickling,
 }
 
-/// What accepts and does not answer holds its connections until the test is over.
-fn discovery(manner: Discovery) -> (SocketAddr, Option<TcpListener>) {
+/// Starts discovery. The returned listener keeps the connections of a discovery that accepts open
+/// until the test ends.
+fn discovery(mode: DiscoveryMode) -> (SocketAddr, Option<TcpListener>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let trickle = move |mut stream: TcpStream| {
@@ -38,15 +40,15 @@
             thread::sleep(Duration::from_millis(20));
         }
     };
-    match manner {
-        // Nobody listens at the port any more.
-        Discovery::Refuses => (address, None),
-        // The queue takes connections that nobody reads from.
-        Discovery::Mute => (address, Some(listener)),
-        Discovery::Trickles => {
-            let taken = listener.try_clone().expect("a descriptor");
+    match mode {
+        // The listener is dropped, and the port refuses connections.
+        DiscoveryMode::RefusesConnections => (address, None),
+        // The backlog takes connections, which are never read.
+        DiscoveryMode::Unresponsive => (address, Some(listener)),
+        DiscoveryMode::Trickling => {
+            let accepting = listener.try_clone().expect("a descriptor");
             thread::spawn(move || {
-                for stream in taken.incoming().map_while(Result::ok) {
+                for stream in accepting.incoming().map_while(Result::ok) {
                     thread::spawn(move || trickle(stream));
                 }
             });
@@ -55,64 +57,69 @@
     }
 }
 
-/// As full as a process would let it get: untried events, such as were out, and ends that nobody
-/// has heard.
+/// Fills an event log as far as a process would, with untried events, events with a call in flight,
+/// and unacknowledged outcomes. Returns the number of events.
 fn fill(folder: &std::path::Path) -> usize {
-    let (mut ledger, _) = EventLog::open(folder, DISK).expect("opens");
-    let mut taken = 0;
-    while ledger.has_capacity_for(1000) {
-        let id = format!("e{taken}");
-        ledger.accept(AcceptedEvent {
+    let (mut log, _) = EventLog::open(folder, MAX_DISK_BYTES).expect("opens");
+    let mut accepted = 0;
+    while log.has_capacity_for(1000) {
+        let id = format!("e{accepted}");
+        log.accept(AcceptedEvent {
             id: id.clone().into(),
             destination: 1,
-            traffic_type: ["job", "order", "charge"][taken % 3].into(),
+            traffic_type: ["job", "order", "charge"][accepted % 3].into(),
             deadline: 4e12,
-            key: Some(taken as u64 % 50),
-            fingerprint: Some(format!("f{taken}").into()),
+            key: Some(accepted as u64 % 50),
+            fingerprint: Some(format!("f{accepted}").into()),
             body: vec![7; 1000].into(),
             guarantee: None,
         });
-        match taken % 4 {
-            1 => ledger.record_attempt(&id, 1.0, "z"),
-            2 => ledger.record_outcome(&id, Outcome::Abandoned, None),
+        match accepted % 4 {
+            1 => log.record_attempt(&id, 1.0, "z"),
+            2 => log.record_outcome(&id, Outcome::Abandoned, None),
             _ => (),
         }
-        ledger.commit().expect("write succeeds");
-        taken += 1;
+        log.commit().expect("write succeeds");
+        accepted += 1;
     }
-    taken
+    accepted
 }
 
 #[rstest]
-fn thirty_at_once_are_ready_in_time_whatever_discovery_does(
-    #[values(Discovery::Refuses, Discovery::Mute, Discovery::Trickles)] manner: Discovery,
+fn thirty_concurrent_starts_are_ready_in_time_without_discovery(
+    #[values(
+        DiscoveryMode::RefusesConnections,
+        DiscoveryMode::Unresponsive,
+        DiscoveryMode::Trickling
+    )]
+    mode: DiscoveryMode,
 ) {
     let (target, _calls) = stand_in();
-    let (address, _held) = discovery(manner);
+    let (address, _listener) = discovery(mode);
     let folders: Vec<_> = (0..PROCESSES)
         .map(|number| {
-            let name = format!("plankhill-many-{}-{manner:?}-{number}", std::process::id());
+            let name = format!("plankhill-many-{}-{mode:?}-{number}", std::process::id());
             let folder = std::env::temp_dir().join(name);
             fs::create_dir_all(&folder).expect("a folder for the test");
             let mut config = config(address, target);
             config["settings"]["allowed"]["maxOpen"] = json!(5000);
             fs::write(folder.join("config.json"), config.to_string()).expect("written");
             let events = fill(&folder);
-            assert!(events > 300, "{events} events are not a full ledger");
+            assert!(events > 300, "{events} events are not a full event log");
             folder
         })
         .collect();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let starts: Vec<_> = folders
         .into_iter()
         .map(|folder| {
             thread::spawn(move || {
                 let forwarder = Forwarder::start_in(folder);
                 while forwarder.exchange(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").0 != 200 {
-                    assert!(begun.elapsed() < LONG, "is not ready");
+                    assert!(started_at.elapsed() < LONG, "the forwarder is not ready");
                     thread::sleep(Duration::from_millis(5));
                 }
-                (begun.elapsed().as_secs_f64(), forwarder)
+                (started_at.elapsed().as_secs_f64(), forwarder)
             })
         })
         .collect();
@@ -127,6 +134,6 @@
         times[PROCESSES * 9 / 10 - 1],
         times[PROCESSES - 1],
     );
-    println!("{manner:?}: ready after {median:.2} s (median), {nine_in_ten:.2} s (nine in ten), {last:.2} s (last)");
-    assert!(nine_in_ten < BOUND.as_secs_f64());
+    println!("{mode:?}: ready after {median:.2} s (median), {nine_in_ten:.2} s (nine in ten), {last:.2} s (last)");
+    assert!(nine_in_ten < READY_LIMIT.as_secs_f64());
 }
