--- a/forwarder/server/tests/descriptors.rs
+++ b/forwarder/server/tests/descriptors.rs
@@ -1,5 +1,5 @@
-//! Idle clients may fill the descriptors while discovery is down: the list is had again once it is
-//! back.
+//! Idle clients use up the descriptors while discovery is down: the endpoint list is received again
+//! once discovery is back.
 
 mod peers;
 
@@ -19,12 +19,12 @@
         .expect("iterator is endless")
 }
 
-/// Descriptors that the system gives.
-const MOST: usize = 96;
+/// The system's limit on open descriptors of the forwarder.
+const MAX_DESCRIPTORS: usize = 96;
 
-/// Connections that ask once and stay, or never ask, as many as are let in.
-fn fill(forwarder: &Forwarder, many: usize) -> Vec<TcpStream> {
-    (0..many)
+/// Opens up to `count` client connections, which send one request or none and stay open.
+fn fill(forwarder: &Forwarder, count: usize) -> Vec<TcpStream> {
+    (0..count)
         .filter_map(|number| {
             let mut stream = TcpStream::connect(forwarder.address).ok()?;
             if number % 2 == 0 {
@@ -35,24 +35,23 @@
         .collect()
 }
 
-/// Guards the list, the notices, targets and operators from clients that hold all that may be open.
+/// Guards the endpoint list, notices, targets and operators against clients that hold all
+/// connections that may be open.
 #[rstest]
-#[case::as_told(MOST)]
-#[case::told_more(2 * MOST)]
-fn while_idle_clients_hold_all_that_may_be_open_list_notices_targets_and_operators_go_on(
-    #[case] sockets: usize,
-) {
+#[case::configured_at_the_limit(MAX_DESCRIPTORS)]
+#[case::configured_above_the_limit(2 * MAX_DESCRIPTORS)]
+fn idle_clients_at_the_limit_block_no_list_notice_target_or_operator(#[case] sockets: usize) {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
     let (discovery, requests) = manual_discovery();
-    let mut told = config(discovery, old);
-    told["limits"]["sockets"] = json!(sockets);
-    let forwarder = Forwarder::start_with_descriptor_limit(&told, MOST);
-    let down = watch(&requests);
-    let idle = fill(&forwarder, 2 * MOST);
-    // Its next dial finds whatever is left.
-    down.disconnect();
-    let mut back = watch(&requests);
-    back.write(&list_response(43, true, &[member("u", new, "up")]));
+    let mut config_value = config(discovery, old);
+    config_value["limits"]["sockets"] = json!(sockets);
+    let forwarder = Forwarder::start_with_descriptor_limit(&config_value, MAX_DESCRIPTORS);
+    let old_watch = watch(&requests);
+    let idle = fill(&forwarder, 2 * MAX_DESCRIPTORS);
+    // The next connect to discovery uses whatever descriptors are left.
+    old_watch.disconnect();
+    let mut new_watch = watch(&requests);
+    new_watch.write(&list_response(43, true, &[member("u", new, "up")]));
     assert_eq!(watch(&requests).query_number("since"), 43);
     forwarder.submit("a", "charge", "");
     let call = receive(&new_calls);
