--- a/forwarder/server/tests/discovery_failures.rs
+++ b/forwarder/server/tests/discovery_failures.rs
@@ -1,5 +1,5 @@
-//! Whatever call to discovery failed, a change counts as told 6 s after discovery had it and could
-//! be reached.
+//! Failed requests to discovery: whichever failed, a change counts as reported 6 s after discovery
+//! had it and could be reached.
 
 mod peers;
 
@@ -14,10 +14,10 @@
 use peers::manual_discovery::*;
 use peers::*;
 
-/// The longest that a watch may wait behind a call that failed, in milliseconds.
-const SHORT: u64 = 2_000;
+/// The longest wait of a watch after a failed request, in milliseconds.
+const MAX_SHORT_WAIT_MS: u64 = 2_000;
 
-/// The next watch; that the whole list cannot be had is all that asks for it hear.
+/// Returns the next watch; requests for the complete list fail until then.
 fn watch(requests: &Receiver<Request>) -> Request {
     loop {
         let mut request = receive(requests);
@@ -31,91 +31,99 @@
 fn start(
     discovery: SocketAddr,
     target: SocketAddr,
-    told: &str,
+    discovery_mode: &str,
     forwarders: u64,
 ) -> (Forwarder, Value) {
     let mut config = config(discovery, target);
-    config["settings"]["discovery"] = json!(told);
+    config["settings"]["discovery"] = json!(discovery_mode);
     config["settings"]["balancers"] = json!(forwarders);
-    if told == "on_request" {
+    if discovery_mode == "on_request" {
         config["settings"]["rules"]["askWithinUs"] = json!(10_000_000);
     }
     (Forwarder::start(&config), config)
 }
 
 #[derive(Clone, Copy)]
-enum Fails {
-    BreaksOff,
-    /// Half an answer, then the end.
-    Half,
-    Refuses,
+enum Failure {
+    Disconnects,
+    /// Part of a response, then the end of the connection.
+    PartialResponse,
+    Unavailable,
     NotJson,
     NoList,
-    Claims3Gb,
-    /// Its head comes byte by byte.
-    Trickles,
-    Older,
+    ContentLength3Gb,
+    /// The head of the response arrives byte by byte.
+    Trickling,
+    OlderRevision,
 }
 
-/// Guards the change that comes just behind a failed call: a watch that may stand long, and does so
-/// silently, would learn of it too late.
+/// Guards a change that comes just after a failed request: a watch with a long wait that gets no
+/// response would report it too late.
 #[rstest]
-fn behind_a_failed_call_a_watch_waits_shortly_until_one_was_answered(
-    #[values("pushed", "on_request")] told: &str,
+fn after_a_failed_request_watches_have_a_short_wait_until_one_is_answered(
+    #[values("pushed", "on_request")] discovery_mode: &str,
     #[values(
-        Fails::BreaksOff,
-        Fails::Half,
-        Fails::Refuses,
-        Fails::NotJson,
-        Fails::NoList,
-        Fails::Claims3Gb,
-        Fails::Trickles,
-        Fails::Older
+        Failure::Disconnects,
+        Failure::PartialResponse,
+        Failure::Unavailable,
+        Failure::NotJson,
+        Failure::NoList,
+        Failure::ContentLength3Gb,
+        Failure::Trickling,
+        Failure::OlderRevision
     )]
-    fails: Fails,
+    failure: Failure,
 ) {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
     let (discovery, requests) = manual_discovery();
-    let (forwarder, _) = start(discovery, old, told, 1);
+    let (forwarder, _) = start(discovery, old, discovery_mode, 1);
     let mut first = watch(&requests);
     assert!(
-        first.query_number("timeout_ms") <= SHORT,
-        "it was not had at the start"
+        first.query_number("timeout_ms") <= MAX_SHORT_WAIT_MS,
+        "the list was not available at the start"
     );
     first.write(&list_response(42, false, &[]));
-    let mut fine = watch(&requests);
+    let mut second = watch(&requests);
     assert!(
-        fine.query_number("timeout_ms") > SHORT,
-        "one answered is followed by one that stands"
+        second.query_number("timeout_ms") > MAX_SHORT_WAIT_MS,
+        "a watch after a response has a long wait"
     );
-    match fails {
-        Fails::BreaksOff => fine.disconnect(),
-        Fails::Half => {
-            fine.write(&list_response(43, false, &[member("t", old, "up")])[..80]);
-            fine.disconnect();
+    match failure {
+        Failure::Disconnects => second.disconnect(),
+        Failure::PartialResponse => {
+            second.write(&list_response(43, false, &[member("t", old, "up")])[..80]);
+            second.disconnect();
+        }
+        Failure::Unavailable => second.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+        Failure::NotJson => second.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{"),
+        Failure::NoList => second.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
+        Failure::ContentLength3Gb => {
+            second.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{")
+        }
+        Failure::Trickling => send_byte_by_byte(&second),
+        Failure::OlderRevision => {
+            second.write(&list_response(40, false, &[member("t", old, "up")]))
         }
-        Fails::Refuses => fine.write("HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-        Fails::NotJson => fine.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n[{"),
-        Fails::NoList => fine.write("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}"),
-        Fails::Claims3Gb => fine.write("HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\n{"),
-        Fails::Trickles => trickles(&fine),
-        Fails::Older => fine.write(&list_response(40, false, &[member("t", old, "up")])),
     }
-    let mut again = watch(&requests);
-    assert_eq!(again.query_number("since"), 42);
-    assert!(again.query_number("timeout_ms") <= SHORT, "{}", again.head);
-    again.write(&list_response(
+    let mut after_failure = watch(&requests);
+    assert_eq!(after_failure.query_number("since"), 42);
+    assert!(
+        after_failure.query_number("timeout_ms") <= MAX_SHORT_WAIT_MS,
+        "{}",
+        after_failure.head
+    );
+    after_failure.write(&list_response(
         43,
         false,
         &[member("t", old, "draining"), member("u", new, "up")],
     ));
-    assert!(watch(&requests).query_number("timeout_ms") > SHORT);
+    assert!(watch(&requests).query_number("timeout_ms") > MAX_SHORT_WAIT_MS);
     forwarder.submit("a", "job", "");
     assert_eq!(receive(&new_calls).id(), "a");
     assert!(old_calls.try_recv().is_err());
 }
 
-fn trickles(to: &Request) {
+fn send_byte_by_byte(to: &Request) {
     use std::io::Write;
     let mut stream = to.stream.try_clone().expect("a socket");
     thread::spawn(move || {
@@ -128,10 +136,11 @@
     });
 }
 
-/// Guards drains: an answer that was under way for long, or one of a discovery that is behind, does
-/// not undo them. One that began anew with its numbers is heard when it says the whole.
+/// Guards drains: a response that was delayed, or one of a discovery that is behind, does not undo
+/// them. A discovery whose revisions have started again is followed when it answers a request for
+/// the complete list.
 #[rstest]
-fn an_older_revision_undoes_nothing_and_a_whole_list_asked_for_is_taken_whatever_its_number() {
+fn an_older_revision_is_ignored_unless_it_is_a_requested_complete_list() {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
     let (discovery, requests) = manual_discovery();
     let (forwarder, _) = start(discovery, old, "pushed", 1);
@@ -140,17 +149,17 @@
         true,
         &[member("t", old, "draining"), member("u", new, "up")],
     ));
-    for whole in [false, true] {
+    for complete in [false, true] {
         let mut stale = receive(&requests);
         assert_eq!(stale.query_number("since"), 45);
         stale.write(&list_response(
             44,
-            whole,
+            complete,
             &[member("t", old, "up"), member("u", new, "draining")],
         ));
-        let mut asked = receive(&requests);
-        assert!(!asked.is_watch(), "{}", asked.head);
-        asked.write(ERROR);
+        let mut list_request = receive(&requests);
+        assert!(!list_request.is_watch(), "{}", list_request.head);
+        list_request.write(ERROR);
     }
     forwarder.submit("a", "job", "");
     assert_eq!(receive(&new_calls).id(), "a");
@@ -166,12 +175,12 @@
     assert!(new_calls.try_recv().is_err());
 }
 
-/// Guards the discovery and the processor: whoever answers at once that there is nothing new is not
-/// asked without end.
+/// Guards discovery and the processor: a discovery that answers at once without a change is not
+/// asked in a busy loop.
 #[rstest]
 #[case::changes(false)]
-#[case::whole(true)]
-fn a_discovery_that_does_not_wait_is_not_asked_without_end(#[case] whole: bool) {
+#[case::complete(true)]
+fn a_discovery_that_answers_at_once_is_not_asked_in_a_busy_loop(#[case] complete: bool) {
     let (target, _calls) = stand_in();
     let (discovery, requests) = manual_discovery();
     let (_forwarder, _) = start(discovery, target, "pushed", 1);
@@ -179,9 +188,9 @@
     first.write(&list_response(42, true, &[member("t", target, "up")]));
     let began = Instant::now();
     for _ in 0..60 {
-        watch(&requests).write(&list_response(42, whole, &[member("t", target, "up")]));
+        watch(&requests).write(&list_response(42, complete, &[member("t", target, "up")]));
     }
-    // The least of a pause beside an agent.
+    // The shortest backoff with an agent.
     assert!(
         began.elapsed() >= 59 * Duration::from_millis(15),
         "{:?}",
@@ -189,51 +198,55 @@
     );
 }
 
-/// Guards the 4 s after SIGHUP: the pause that spares a busy discovery to a fleet is no pause for
-/// another one.
+/// Guards the 4 s after SIGHUP: the backoff that limits a fleet's load on a busy discovery does not
+/// apply to a new address.
 #[rstest]
-fn a_new_address_is_asked_at_once_in_the_middle_of_a_pause() {
+fn a_new_address_is_asked_at_once_during_a_backoff() {
     assert!(
-        (0..4).any(|_| is_asked_at_once()),
-        "each time only when the pause was over"
+        (0..4).any(|_| is_new_address_asked_at_once()),
+        "only after the backoff each time"
     );
 }
 
-fn is_asked_at_once() -> bool {
+fn is_new_address_asked_at_once() -> bool {
     let (target, _calls) = stand_in();
     let ((old, old_requests), (new, requests)) = (manual_discovery(), manual_discovery());
-    let (forwarder, mut told) = start(old, target, "on_request", 300);
-    // The pause behind the third failure is of 1.5 s at least.
+    let (forwarder, mut config_value) = start(old, target, "on_request", 300);
+    // The backoff after the third failure is at least 1.5 s.
     for _ in 0..2 {
         receive(&old_requests).write(ERROR);
     }
     let mut refused = receive(&old_requests);
-    told["discovery"] = json!(new.to_string());
-    std::fs::write(forwarder.folder.join("config.json"), told.to_string()).expect("written");
+    config_value["discovery"] = json!(new.to_string());
+    std::fs::write(
+        forwarder.folder.join("config.json"),
+        config_value.to_string(),
+    )
+    .expect("written");
     refused.write(ERROR);
     let began = Instant::now();
     forwarder.signal("-HUP");
     let first = receive(&requests);
-    assert!(first.is_watch() && first.query_number("timeout_ms") <= SHORT);
+    assert!(first.is_watch() && first.query_number("timeout_ms") <= MAX_SHORT_WAIT_MS);
     assert!(old_requests.try_recv().is_err());
     began.elapsed() < Duration::from_millis(1_000)
 }
 
-/// Guards the list of a discovery whose network swallows a first packet: left to the system, a dial
-/// that was not answered is tried anew after one, two, four and eight seconds.
+/// Guards the endpoint list when the network loses the first packet to discovery: the kernel
+/// repeats an unanswered SYN after one, two, four and eight seconds.
 #[rstest]
-fn a_dial_that_is_not_answered_is_given_up() {
-    // A busy machine may be late once; without a bound of its own it is late each time.
+fn an_unanswered_connect_times_out() {
+    // A busy machine may be late once; without a time-out for the connect it is late each time.
     assert!(
-        (0..4).any(|_| is_given_up_soon()),
-        "each time only with the watch"
+        (0..4).any(|_| connect_times_out_soon()),
+        "only with the watch's time-out each time"
     );
 }
 
-fn is_given_up_soon() -> bool {
+fn connect_times_out_soon() -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let discovery = listener.local_addr().expect("bound");
-    // Nobody accepts: once its queue is full, the system answers no dial.
+    // No connection is accepted: once the backlog is full, the kernel answers no SYN.
     let short = Duration::from_millis(300);
     let full: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&discovery, short).ok()).collect();
@@ -242,6 +255,6 @@
     let (forwarder, _) = start(discovery, target, "on_request", 1);
     forwarder.wait_for_log("discovery failed, error: timed out");
     drop(full);
-    // A second; with no bound of its own, the watch's whole wait.
-    began.elapsed() < Duration::from_millis(SHORT)
+    // One second; without a time-out for the connect, the complete wait of the watch.
+    began.elapsed() < Duration::from_millis(MAX_SHORT_WAIT_MS)
 }
