--- a/forwarder/server/tests/end_to_end.rs
+++ b/forwarder/server/tests/end_to_end.rs
@@ -1,5 +1,4 @@
-//! The forwarder as its peers meet it: real sockets, with stand-ins for target, discovery and
-//! client.
+//! The forwarder on real sockets, with stand-ins for target, discovery and client.
 
 mod peers;
 
@@ -27,10 +26,10 @@
         call.answer(OK);
     }
     let chunked = "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
-    let whole = String::from_utf8(event_request("c", "order", "")).unwrap();
+    let request = String::from_utf8(event_request("c", "order", "")).unwrap();
     stream
         .write_all(
-            whole
+            request
                 .replace("Content-Length: 4\r\n\r\nbody", chunked)
                 .as_bytes(),
         )
@@ -43,9 +42,9 @@
     );
 }
 
-/// Guards the others' notices from an id that the platform does not take.
+/// Guards other notices against an event id that the platform rejects.
 #[rstest]
-fn a_notice_that_cannot_be_read_holds_up_no_other() {
+fn an_unreadable_notice_delays_no_other() {
     let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
     for id in ["unreadable", "a"] {
         forwarder.submit(id, "charge", "Cookie: about=5\r\n");
@@ -56,23 +55,23 @@
 }
 
 #[rstest]
-fn an_event_for_a_destination_that_nobody_lists_is_not_taken_on() {
+fn an_event_for_an_unlisted_destination_is_rejected() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
-    let stray = String::from_utf8(event_request("a", "job", ""))
+    let unlisted = String::from_utf8(event_request("a", "job", ""))
         .unwrap()
         .replace("dest=1", "dest=70000");
-    assert_eq!(forwarder.exchange(stray.as_bytes()).0, 503);
+    assert_eq!(forwarder.exchange(unlisted.as_bytes()).0, 503);
     forwarder.submit("b", "job", "");
     assert_eq!(receive(&calls).id(), "b");
 }
 
 #[rstest]
-fn what_does_not_fit_is_refused_with_a_time_to_come_back() {
+fn events_above_the_limit_are_rejected_with_retry_after() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
         config["settings"]["allowed"]["maxOpen"] = json!(2)
     });
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
-    let out = receive(&calls);
+    let in_flight = receive(&calls);
     let (status, head) = (0..3)
         .map(|number| {
             forwarder.exchange(&event_request(
@@ -85,12 +84,13 @@
         .expect("at most two are accepted");
     assert_eq!(status, 503);
     assert!(head.contains("Retry-After: 2.000\r\n"), "{head}");
-    out.answer(OK);
+    in_flight.answer(OK);
 }
 
-/// Guards the memory: an event held for long holds no buffer, which others need to be read at all.
+/// Guards the read buffers: a pending event holds none, because other requests cannot be read
+/// without one.
 #[rstest]
-fn short_events_are_held_while_there_is_room_however_small_the_memory() {
+fn short_events_are_accepted_up_to_the_limit_with_little_memory() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["settings"]["allowed"]["maxOpen"] = json!(300);
@@ -99,27 +99,27 @@
     assert_eq!(receive(&calls).body, b"body");
 }
 
-/// Guards a client's event from another that uses its id: neither leaving takes it back, nor is it
-/// sent twice.
+/// Guards a client's event against another client that uses its id: the event is neither withdrawn
+/// when the other client disconnects nor sent twice.
 #[rstest]
-fn an_id_that_another_uses_too_is_taken_once_and_stays_its_owners() {
+fn an_event_id_used_by_two_clients_is_accepted_once_and_stays_with_the_first() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.submit("a", "charge", "");
-    let out = receive(&calls);
+    let in_flight = receive(&calls);
     assert_eq!(forwarder.exchange(&event_request("a", "charge", "")).0, 503);
     forwarder.suspend();
-    let mut thief = TcpStream::connect(forwarder.address).expect("the kernel accepts it");
-    thief
+    let mut second_client = TcpStream::connect(forwarder.address).expect("the kernel accepts it");
+    second_client
         .write_all(&event_request("a", "charge", ""))
         .expect("the kernel accepts it");
-    drop(thief);
+    drop(second_client);
     forwarder.signal("-CONT");
-    out.answer(OK);
+    in_flight.answer(OK);
     forwarder.submit("b", "charge", "");
-    assert_eq!(receive(&calls).id(), "b", "a is over");
+    assert_eq!(receive(&calls).id(), "b", "a has completed");
     assert_eq!(forwarder.exchange(&event_request("a", "charge", "")).0, 503);
     forwarder.submit("c", "charge", "");
-    assert_eq!(receive(&calls).id(), "c", "a does not run again");
+    assert_eq!(receive(&calls).id(), "c", "a is not sent again");
 }
 
 #[rstest]
@@ -129,13 +129,13 @@
     Value::Null,
     "settings.familyInfo.slots: is missing"
 )]
-fn a_bad_configuration_ends_it_with_one_plain_line(
+fn an_invalid_configuration_ends_the_start_with_one_line(
     #[case] at: &str,
     #[case] value: Value,
-    #[case] said: &str,
+    #[case] message: &str,
 ) {
-    let nobody = SocketAddr::from(([127, 0, 0, 1], 9));
-    let mut config = config(nobody, nobody);
+    let unused = SocketAddr::from(([127, 0, 0, 1], 9));
+    let mut config = config(unused, unused);
     *config.pointer_mut(at).expect("key exists") = value;
     let file = format!(
         "plankhill-bad-{}{}.json",
@@ -144,7 +144,7 @@
     );
     let path = std::env::temp_dir().join(file);
     std::fs::write(&path, config.to_string()).expect("written");
-    let told = expect_start_error(&path, "/tmp".as_ref());
+    let output = expect_start_error(&path, "/tmp".as_ref());
     std::fs::remove_file(&path).expect("written above");
-    assert!(told.contains(said), "{told}");
+    assert!(output.contains(message), "{output}");
 }
