--- a/forwarder/server/tests/endpoint_list.rs
+++ b/forwarder/server/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of targets, as discovery and its news change it.
+//! Changes of the endpoint list by discovery.
 
 mod peers;
 
@@ -12,12 +12,13 @@
 use peers::*;
 
 #[rstest]
-fn a_target_that_is_not_there_gets_the_event_once_it_is() {
-    // The port is ours, and nobody listens there on the other address.
-    let ours = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let free = SocketAddr::from(([127, 0, 0, 2], ours.local_addr().expect("bound").port()));
+fn an_event_is_sent_once_its_target_is_reachable() {
+    // The test holds the port on 127.0.0.1, and nothing listens on it at 127.0.0.2.
+    let reserved = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let unreachable =
+        SocketAddr::from(([127, 0, 0, 2], reserved.local_addr().expect("bound").port()));
     let (discovery, watches, _notices) = discovery_stand_in(0);
-    let forwarder = Forwarder::start(&config(discovery, free));
+    let forwarder = Forwarder::start(&config(discovery, unreachable));
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
     let (target, calls) = stand_in();
     let watch = receive(&watches);
@@ -34,7 +35,7 @@
 #[rstest]
 #[case("draining")]
 #[case("removed")]
-fn nothing_new_goes_to_a_target_that_leaves(#[case] phase: &str) {
+fn no_new_event_is_sent_to_a_leaving_target(#[case] phase: &str) {
     let (old, old_calls) = stand_in();
     let (new, new_calls) = stand_in();
     let (discovery, watches, _notices) = discovery_stand_in(0);
@@ -46,13 +47,15 @@
         member("u", new, "up"),
         json!({"id": "odd"}),
     ]));
-    receive(&watches); // the next watch comes once the page was handed on
-                       // What was answered before the KILL and not read by then: a retriable event
-                       // goes again, once.
+    // The next watch is sent once the page was passed on.
+    receive(&watches);
+    // Events whose responses were not read before the process was killed: a retriable event is sent
+    // again, once.
     let mut unread = Vec::new();
     for id in ["b", "c", "d", "e"] {
         if id == "d" {
-            forwarder.restart("-KILL"); // discovery is no help then, and the configuration is older
+            // Discovery has no complete list after the restart, and the configured one is older.
+            forwarder.restart("-KILL");
             unread = vec!["b", "c"];
         }
         forwarder.submit(id, "job", "");
@@ -68,28 +71,28 @@
     assert!(old_calls.try_recv().is_err());
 }
 
-/// Guards the list and the notices when the file names another discovery under load; a faulty file
-/// is no end.
+/// Guards the endpoint list and the notices when the configuration file names another discovery
+/// under load. An invalid file does not end the process.
 #[rstest]
-fn on_sighup_list_watch_and_notices_move_and_nothing_is_lost() {
+fn on_sighup_the_watch_and_notices_move_and_no_event_is_lost() {
     let (target, calls) = stand_in();
     let (old, old_watches, old_notices) = discovery_stand_in(0);
     let (new, watches, notices) = discovery_stand_in(0);
-    let mut told = config(old, target);
-    let forwarder = Forwarder::start(&told);
-    let _held = receive(&old_watches);
+    let mut config_value = config(old, target);
+    let forwarder = Forwarder::start(&config_value);
+    let _open_watch = receive(&old_watches);
     let file = forwarder.folder.join("config.json");
     std::fs::write(&file, "{").expect("written");
     forwarder.signal("-HUP");
     forwarder.wait_for_log("configuration not reloaded");
     forwarder.submit("a", "charge", "");
-    let out = receive(&calls);
-    told["discovery"] = json!(new.to_string());
-    told["limits"]["sockets"] = json!(128);
-    std::fs::write(&file, told.to_string()).expect("written");
+    let in_flight = receive(&calls);
+    config_value["discovery"] = json!(new.to_string());
+    config_value["limits"]["sockets"] = json!(128);
+    std::fs::write(&file, config_value.to_string()).expect("written");
     forwarder.signal("-HUP");
     forwarder.wait_for_log("configuration change needs a restart, key: limits");
-    out.answer(ERROR);
+    in_flight.answer(ERROR);
     assert_eq!(receive(&notices), given_up_notice("a"));
     let watch = receive(&watches);
     assert!(watch.head.contains("since=41"), "{}", watch.head);
@@ -104,12 +107,12 @@
     assert!(old_notices.try_recv().is_err() && calls.try_recv().is_err());
 }
 
-/// Guards drains and waits: after a stall the sockets are full of news, and a call may go before
-/// they are read.
+/// Guards drains and requested waits: after a suspension the sockets hold unread updates, and a
+/// call could be sent before those are read.
 #[rstest]
-fn after_a_stall_all_news_are_heard_before_anything_is_sent() {
+fn after_a_suspension_all_updates_are_processed_before_any_call() {
     let by = Instant::now() + LONG;
-    while !the_pause_ends_in_a_stall() {
+    while !backoff_ends_during_a_suspension() {
         assert!(
             Instant::now() < by,
             "the machine is too busy to stop a process in time"
@@ -117,11 +120,11 @@
     }
 }
 
-/// Whether the stall began before the event's pause could end; if not, nothing is told by what came
-/// of it.
-fn the_pause_ends_in_a_stall() -> bool {
-    // Half a second, less its jitter.
-    const LEAST_PAUSE: Duration = Duration::from_millis(375);
+/// Whether the suspension began before the event's backoff could end; otherwise the run proves
+/// nothing.
+fn backoff_ends_during_a_suspension() -> bool {
+    // Half a second less the jitter.
+    const MIN_BACKOFF: Duration = Duration::from_millis(375);
     let (old, old_calls) = stand_in();
     let (new, new_calls) = stand_in();
     let (discovery, watches, _notices) = discovery_stand_in(0);
@@ -129,14 +132,14 @@
     let watch = receive(&watches);
     forwarder.submit("a", "job", "");
     let call = receive(&old_calls);
-    let before_its_pause = Instant::now();
+    let before_backoff = Instant::now();
     call.answer(ERROR);
-    // Its pause and the watch's answer both end in the stall; the call of b says that the error was
-    // heard.
+    // The backoff ends and the watch's response arrives during the suspension; the call of b shows
+    // that the error was processed.
     forwarder.submit("b", "job", "");
     receive(&old_calls).answer(OK);
     forwarder.suspend();
-    if before_its_pause.elapsed() >= LEAST_PAUSE {
+    if before_backoff.elapsed() >= MIN_BACKOFF {
         return false;
     }
     watch.answer(&changes_response(&[
