--- a/forwarder/server/tests/floods.rs
+++ b/forwarder/server/tests/floods.rs
@@ -1,4 +1,4 @@
-//! Clients that send as fast as they can, or read nothing: others are served on.
+//! Clients that send as fast as they can or read no responses: other clients are still served.
 
 mod peers;
 
@@ -14,10 +14,10 @@
 
 const UP: &[u8] = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Guards the others from one whose requests never run out: each of them is answered without a wait
-/// for anything.
+/// Guards other clients against one that always has another request buffered, so that its
+/// connection never waits.
 #[rstest]
-fn who_asks_without_an_end_does_not_keep_others_waiting() {
+fn an_endless_sender_does_not_delay_other_clients() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let flood = TcpStream::connect(forwarder.address).expect("connects");
     let (mut writes, mut reads) = (
@@ -25,15 +25,15 @@
         flood.try_clone().expect("a descriptor"),
     );
     thread::spawn(move || while writes.write_all(&UP.repeat(1000)).is_ok() {});
-    let (begins, begun) = channel();
+    let (progress, progress_reports) = channel();
     thread::spawn(move || {
         let mut bytes = vec![0; 64 * 1024];
         while reads.read(&mut bytes).is_ok_and(|read| read > 0) {
-            let _ = begins.send(());
+            let _ = progress.send(());
         }
     });
-    // Under way, with a buffer of requests behind it.
-    (0..10).for_each(|_| receive(&begun));
+    // The flood has started, with a buffer of pipelined requests.
+    (0..10).for_each(|_| receive(&progress_reports));
     for id in ["a", "b", "c"] {
         forwarder.submit(id, "job", "");
         let call = receive(&calls);
@@ -44,20 +44,20 @@
     let _ = flood.shutdown(std::net::Shutdown::Both);
 }
 
-/// They hold all places, and none of them ever waits for a request.
+/// The clients hold all connections that may be open, none of which ever waits for a request.
 #[rstest]
-#[case::its_answers_are_read(true)]
-#[case::nor_reads_its_answers(false)]
-fn who_asks_again_before_its_answer_makes_room(#[case] reads: bool) {
+#[case::responses_are_read(true)]
+#[case::responses_are_not_read(false)]
+fn connections_with_pipelined_requests_are_closed_for_others(#[case] reads: bool) {
     let (forwarder, calls, _notices, _) =
         start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
-    let (begins, begun) = channel();
+    let (progress, progress_reports) = channel();
     for _ in 0..16 {
-        let mut asks = TcpStream::connect(forwarder.address).expect("connects");
-        let (mut answers, begins) = (asks.try_clone().expect("a descriptor"), begins.clone());
+        let mut writer = TcpStream::connect(forwarder.address).expect("connects");
+        let (mut answers, progress) = (writer.try_clone().expect("a descriptor"), progress.clone());
         thread::spawn(move || {
-            while asks.write_all(&UP.repeat(1000)).is_ok() {
-                let _ = begins.send(());
+            while writer.write_all(&UP.repeat(1000)).is_ok() {
+                let _ = progress.send(());
             }
         });
         if reads {
@@ -66,8 +66,9 @@
             );
         }
     }
-    // Under way, more than what the kernel holds for one that is not accepted.
-    (0..16).for_each(|_| receive(&begun));
+    // The floods have started; each has sent more than the kernel buffers for a connection that is
+    // not accepted.
+    (0..16).for_each(|_| receive(&progress_reports));
     for id in ["a", "b", "c"] {
         forwarder.submit(id, "job", "");
         let call = receive(&calls);
