--- a/forwarder/server/tests/late_calls.rs
+++ b/forwarder/server/tests/late_calls.rs
@@ -1,4 +1,4 @@
-//! Calls that were decided, and may not leave any more when they could.
+//! Calls that were decided, and may no longer be sent when their connection is ready.
 
 mod peers;
 
@@ -12,11 +12,11 @@
 use peers::held::*;
 use peers::*;
 
-/// A repeat that is decided inside its window, and whose connection comes up after it: there the
-/// process has stood still, and nothing has told the call meanwhile. The destination may have
-/// forgotten the fingerprint.
+/// A retry is decided within its deduplication window, and its connection is ready only after it:
+/// the process was suspended in between, so that nothing could cancel the call. The destination may
+/// have dropped the fingerprint by then.
 #[rstest]
-fn a_repeat_whose_connection_comes_up_after_its_window_does_not_leave() {
+fn a_retry_whose_connection_is_ready_after_its_window_is_not_sent() {
     let window = Duration::from_millis(1400);
     let mut target = HeldTarget::new();
     let (discovery, _watches, notices) = discovery_stand_in(0);
@@ -29,13 +29,13 @@
     read_message(&mut from).expect("a call");
     let window_ends = Instant::now() + window;
     target.hold();
-    drop(from); // it may have run
+    drop(from); // the call may have run
     target.wait_for_dial();
     forwarder.suspend();
-    let mut repeat = target.accept_dial();
+    let mut retry = target.accept_dial();
     thread::sleep(window_ends.saturating_duration_since(Instant::now()));
     forwarder.signal("-CONT");
-    assert_eq!(read_until_closed(&mut repeat), "");
+    assert_eq!(read_until_closed(&mut retry), "");
     let notice = receive(&notices);
     assert_eq!(
         (&notice["message"], &notice["outcome"]),
@@ -43,14 +43,12 @@
     );
 }
 
-/// A call whose connection comes up after its event's patience has ended: nothing is sent after the
-/// end.
+/// A call's connection is ready only after its event's deadline: nothing is sent after the
+/// deadline.
 #[rstest]
 #[case::binding("charge")]
 #[case::retriable("job")]
-fn a_call_whose_connection_comes_up_after_the_end_of_patience_does_not_leave(
-    #[case] traffic: &str,
-) {
+fn a_call_whose_connection_is_ready_after_the_deadline_is_not_sent(#[case] traffic: &str) {
     let mut target = HeldTarget::new();
     let (discovery, _watches, notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
@@ -62,11 +60,11 @@
             .0,
         202
     );
-    let patience_ends = Instant::now() + Duration::from_millis(1300);
+    let deadline = Instant::now() + Duration::from_millis(1300);
     target.wait_for_dial();
     forwarder.suspend();
     let mut call = target.accept_dial();
-    thread::sleep(patience_ends.saturating_duration_since(Instant::now()));
+    thread::sleep(deadline.saturating_duration_since(Instant::now()));
     forwarder.signal("-CONT");
     assert_eq!(read_until_closed(&mut call), "");
     let notice = receive(&notices);
@@ -76,10 +74,10 @@
     );
 }
 
-/// The answer came in time, and is read after it: the process stood still. A call taken for
-/// unanswered would be written off, though it was delivered.
+/// The response arrives before the event's deadline and is read after it, because the process was
+/// suspended. A call that counted as unanswered would be given up, although it was delivered.
 #[rstest]
-fn an_answer_that_came_in_a_stall_counts_after_its_time() {
+fn a_response_during_a_suspension_counts_after_the_deadline() {
     let target = HeldTarget::new();
     let (discovery, _watches, notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
@@ -90,7 +88,7 @@
             .0,
         202
     );
-    let patience_ends = Instant::now() + Duration::from_millis(1300);
+    let deadline = Instant::now() + Duration::from_millis(1300);
     let (stream, _) = target.listener.accept().expect("connection is established");
     let mut from = BufReader::new(stream);
     read_message(&mut from).expect("a call");
@@ -98,10 +96,11 @@
     from.get_mut()
         .write_all(OK.as_bytes())
         .expect("connection is open");
-    thread::sleep(patience_ends.saturating_duration_since(Instant::now()));
+    thread::sleep(deadline.saturating_duration_since(Instant::now()));
     forwarder.signal("-CONT");
     forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
-    // The connection stands, and the next of the key goes: it is over.
+    // The connection is still open, and the next event of the order key is sent: the first event is
+    // complete.
     let (head, _) = read_message(&mut from).expect("a call");
     assert!(head.contains("Req-Id: b\r\n"), "{head}");
     assert!(notices.try_recv().is_err());
