--- a/forwarder/server/tests/notice_deadlines.rs
+++ b/forwarder/server/tests/notice_deadlines.rs
@@ -1,5 +1,5 @@
-//! A notice has to be heard 300 ms after its event's time is up, whatever became of the connection
-//! to the agent.
+//! A notice has to be acknowledged 300 ms after its event's deadline, whatever happens to the
+//! connection to the agent.
 
 mod peers;
 
@@ -14,10 +14,11 @@
 use peers::manual_discovery::*;
 use peers::*;
 
-const HEARD: &str = "HTTP/1.1 204 Fine\r\n\r\n";
+const ACKNOWLEDGED: &str = "HTTP/1.1 204 Fine\r\n\r\n";
 
-/// A forwarder, the calls it makes, and the notices that its agent gets; the list cannot be had.
-fn beside_an_agent() -> (Forwarder, Receiver<Asked>, Receiver<Request>) {
+/// Starts a forwarder with an agent that cannot send the complete endpoint list. Returns the
+/// forwarder, its calls, and the notices that the agent receives.
+fn start_with_agent() -> (Forwarder, Receiver<Asked>, Receiver<Request>) {
     let (target, calls) = stand_in();
     let (discovery, requests) = manual_discovery();
     let (notice, notices) = channel();
@@ -33,16 +34,16 @@
     (Forwarder::start(&config(discovery, target)), calls, notices)
 }
 
-fn told(request: &Request) -> Vec<Value> {
+fn parse_notices(request: &Request) -> Vec<Value> {
     let text = std::str::from_utf8(&request.body).expect("UTF-8");
     text.lines()
         .map(|line| serde_json::from_str(line).expect("one JSON value a line"))
         .collect()
 }
 
-/// The calls of events that may have run once one fails, and can't be sent again: their ends are
-/// owed then.
-fn out<const N: usize>(
+/// Submits events that may have run once their call fails and cannot be sent again, so that their
+/// notices are due then. Returns their calls.
+fn start_calls<const N: usize>(
     forwarder: &Forwarder,
     calls: &Receiver<Asked>,
     ids: [&str; N],
@@ -56,74 +57,78 @@
 }
 
 #[derive(Clone, Copy)]
-enum Falls {
+enum ConnectionFault {
     Mute,
-    /// Its answer begins and stays so.
-    Half,
-    /// The agent reads, and ends the connection.
+    /// The agent sends the beginning of a response and nothing more.
+    Partial,
+    /// The agent reads the request and closes the connection.
     Closed,
 }
 
-/// Guards the notices of all events that end while the connection to the agent is stuck.
+/// Guards the notices of all events that complete while the connection to the agent is stuck.
 #[rstest]
-#[case::mute(Falls::Mute)]
-#[case::half(Falls::Half)]
-#[case::closed(Falls::Closed)]
-fn a_stuck_connection_holds_up_no_notice(#[case] falls: Falls) {
-    // A busy machine may be late once; one that waits for the stuck connection is late each time.
+#[case::mute(ConnectionFault::Mute)]
+#[case::partial(ConnectionFault::Partial)]
+#[case::closed(ConnectionFault::Closed)]
+fn a_stuck_connection_delays_no_notice(#[case] fault: ConnectionFault) {
+    // A busy machine may be late once; a forwarder that waits for the stuck connection is late each
+    // time.
     assert!(
-        (0..4).any(|_| are_heard_in_time(falls)),
-        "each time too late"
+        (0..4).any(|_| are_acknowledged_in_time(fault)),
+        "too late each time"
     );
 }
 
-fn are_heard_in_time(falls: Falls) -> bool {
-    let (forwarder, calls, notices) = beside_an_agent();
-    let [a, b, c] = out(&forwarder, &calls, ["a", "b", "c"]);
+fn are_acknowledged_in_time(fault: ConnectionFault) -> bool {
+    let (forwarder, calls, notices) = start_with_agent();
+    let [a, b, c] = start_calls(&forwarder, &calls, ["a", "b", "c"]);
     a.answer(ERROR);
     let mut first = receive(&notices);
-    first.write(HEARD);
+    first.write(ACKNOWLEDGED);
     b.answer(ERROR);
     let mut stuck = receive(&notices);
-    assert_eq!(stuck.connection, first.connection, "it is kept");
-    match falls {
-        Falls::Mute => (),
-        Falls::Half => stuck.write("HTTP/1.1 204 Fi"),
-        Falls::Closed => stuck.disconnect(),
+    assert_eq!(
+        stuck.connection, first.connection,
+        "the connection is kept open"
+    );
+    match fault {
+        ConnectionFault::Mute => (),
+        ConnectionFault::Partial => stuck.write("HTTP/1.1 204 Fi"),
+        ConnectionFault::Closed => stuck.disconnect(),
     }
     let began = Instant::now();
     c.answer(ERROR);
-    let mut heard = Vec::new();
-    while !heard.contains(&given_up_notice("c")) {
-        let mut again = receive(&notices);
+    let mut acknowledged = Vec::new();
+    while !acknowledged.contains(&given_up_notice("c")) {
+        let mut retry = receive(&notices);
         assert_ne!(
-            again.connection, stuck.connection,
-            "what is stuck is not used again"
+            retry.connection, stuck.connection,
+            "the stuck connection is not used again"
         );
-        heard.extend(told(&again));
-        again.write(HEARD);
+        acknowledged.extend(parse_notices(&retry));
+        retry.write(ACKNOWLEDGED);
     }
-    assert!(heard.contains(&given_up_notice("b")));
+    assert!(acknowledged.contains(&given_up_notice("b")));
     began.elapsed() < Duration::from_millis(300)
 }
 
-/// Guards what is owed behind an agent that answers nothing for a while, on any connection.
+/// Guards notices that become due while the agent answers on no connection for a while.
 #[rstest]
-fn what_ends_while_nothing_is_answered_goes_along_with_the_next_try() {
-    let (forwarder, calls, notices) = beside_an_agent();
-    let [a, b] = out(&forwarder, &calls, ["a", "b"]);
+fn notices_due_while_the_agent_is_unresponsive_are_sent_with_the_next_retry() {
+    let (forwarder, calls, notices) = start_with_agent();
+    let [a, b] = start_calls(&forwarder, &calls, ["a", "b"]);
     a.answer(ERROR);
     let first = receive(&notices);
     b.answer(ERROR);
     let mut both = std::iter::repeat_with(|| receive(&notices))
         .take(20)
         .find(|request| {
-            let all = told(request);
+            let all = parse_notices(request);
             assert_eq!(all[0], given_up_notice("a"));
             all.len() == 2
         });
     let both = both.as_mut().expect("a request with both notices");
-    assert_eq!(told(both)[1], given_up_notice("b"));
-    both.write(HEARD);
+    assert_eq!(parse_notices(both)[1], given_up_notice("b"));
+    both.write(ACKNOWLEDGED);
     drop(first);
 }
