--- a/forwarder/server/tests/operators.rs
+++ b/forwarder/server/tests/operators.rs
@@ -1,4 +1,4 @@
-//! What operators' staff ask of a running forwarder, at their own address.
+//! Commands of operators at the admin address of a running forwarder.
 
 mod peers;
 
@@ -11,13 +11,13 @@
 
 use peers::*;
 
-/// Answers are owed to operators within that.
-const OWED: Duration = Duration::from_secs(1);
+/// Time within which operators get a response.
+const RESPONSE_LIMIT: Duration = Duration::from_secs(1);
 
 const UP: &[u8] = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
 
 #[rstest]
-fn operators_hear_yes_or_no_and_may_repeat_themselves() {
+fn admin_commands_have_expected_statuses_and_may_be_repeated() {
     let (forwarder, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     forwarder.wait_until_ready();
     for (method, path, status) in [
@@ -46,16 +46,16 @@
     assert_eq!(read_response(&mut stream).0, 400);
 }
 
-/// Callers that hold on, most with half a call, fill all places several times over; clients take
-/// all of theirs.
+/// Admin callers that keep their connections open, most with an incomplete request, exceed the
+/// limit of admin connections several times over; clients use up their own limit.
 #[rstest]
-fn half_callers_and_a_crowd_of_clients_hold_up_no_operator() {
+fn incomplete_admin_requests_and_many_clients_delay_no_operator() {
     let (forwarder, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     forwarder.wait_until_ready();
     let crowd: Vec<_> = (0..300)
         .map(|_| TcpStream::connect(forwarder.address).expect("connects"))
         .collect();
-    let mut held = Vec::new();
+    let mut incomplete = Vec::new();
     for number in 0..60 {
         let mut caller = TcpStream::connect(forwarder.mgmt).expect("connects");
         if number % 3 > 0 {
@@ -63,28 +63,28 @@
                 .write_all(b"POST /-/drain HTTP/1.1\r\nHo")
                 .expect("write succeeds");
         }
-        held.push(caller);
-        let asked = Instant::now();
+        incomplete.push(caller);
+        let sent_at = Instant::now();
         assert_eq!(forwarder.call_admin("GET", "/-/ready"), 200);
         assert_eq!(forwarder.call_admin("POST", "/-/targets/t/enable"), 200);
         assert!(
-            asked.elapsed() < 2 * OWED,
+            sent_at.elapsed() < 2 * RESPONSE_LIMIT,
             "two answers took {:?}",
-            asked.elapsed()
+            sent_at.elapsed()
         );
     }
-    // Nobody who says half a word stays.
-    for mut caller in held {
+    // The forwarder closes each of these connections.
+    for mut caller in incomplete {
         caller.set_read_timeout(Some(LONG)).expect("a socket");
-        let mut said = Vec::new();
-        let _ = caller.read_to_end(&mut said);
+        let mut output = Vec::new();
+        let _ = caller.read_to_end(&mut output);
     }
     drop(crowd);
 }
 
-/// The call of a marker event shows that all decided before it has been carried out.
+/// The call of a marker event shows that all earlier decisions have been carried out.
 #[rstest]
-fn a_target_left_out_gets_nothing_whatever_the_list_says_over_kills_until_it_may_serve_again() {
+fn a_disabled_target_gets_no_event_across_list_changes_and_kills_until_it_is_enabled() {
     let (other, others) = stand_in();
     let (mut forwarder, calls, _notices, watches) = start_with_stand_ins(0, |config| {
         let mut marker = member("m", other, "up");
@@ -98,17 +98,17 @@
     let config: serde_json::Value =
         serde_json::from_slice(&std::fs::read(address).expect("file exists")).expect("JSON");
     let listed = config["known"]["members"][0].clone();
-    let gone = json!({"id": "t", "phase": "removed"});
+    let removal = json!({"id": "t", "phase": "removed"});
     assert_eq!(forwarder.call_admin("POST", "/-/targets/t/disable"), 200);
     forwarder.submit("a", "job", "");
-    let mark = |forwarder: &Forwarder, id: &str| {
+    let send_marker = |forwarder: &Forwarder, id: &str| {
         let marker = String::from_utf8(event_request(id, "job", ""))
             .unwrap()
             .replace("dest=1", "dest=2");
         assert_eq!(forwarder.exchange(marker.as_bytes()).0, 202);
         let mut call = receive(&others);
-        // The kill may have come before the last marker's answer was read: that one comes again
-        // then.
+        // The process may have been killed before it read the response to the last marker, which is
+        // then sent again.
         if call.id() == "l1" && id == "m2" {
             call.answer(OK);
             call = receive(&others);
@@ -116,20 +116,23 @@
         assert_eq!(call.id(), id);
         call.answer(OK);
     };
-    mark(&forwarder, "m1");
-    for (number, page_of) in [[gone.clone()], [listed.clone()]].iter().enumerate() {
+    send_marker(&forwarder, "m1");
+    for (number, page_of) in [[removal.clone()], [listed.clone()]].iter().enumerate() {
         receive(&watches).answer(&changes_response(page_of));
-        mark(&forwarder, &format!("l{number}"));
+        send_marker(&forwarder, &format!("l{number}"));
     }
     forwarder.restart("-KILL");
-    mark(&forwarder, "m2");
-    assert!(calls.try_recv().is_err(), "nothing went there");
+    send_marker(&forwarder, "m2");
+    assert!(
+        calls.try_recv().is_err(),
+        "no call went to the disabled target"
+    );
     assert_eq!(forwarder.call_admin("POST", "/-/targets/t/enable"), 200);
     assert_eq!(receive(&calls).id(), "a");
 }
 
 #[rstest]
-fn a_damaged_record_of_bans_is_never_read_as_none() {
+fn a_damaged_file_of_disabled_targets_ends_the_start() {
     let (mut forwarder, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     assert_eq!(forwarder.call_admin("POST", "/-/targets/t/disable"), 200);
     forwarder.child.kill().expect("process is running");
@@ -137,15 +140,15 @@
     let record = forwarder.folder.join("bans");
     let text = std::fs::read_to_string(&record).expect("written before the response");
     std::fs::write(&record, text.replace("\nt\n", "\n")).expect("written");
-    let said = expect_start_error(&forwarder.folder.join("config.json"), &forwarder.folder);
+    let output = expect_start_error(&forwarder.folder.join("config.json"), &forwarder.folder);
     assert!(
-        said.contains("the record of targets left out is damaged"),
-        "{said}"
+        output.contains("the record of targets left out is damaged"),
+        "{output}"
     );
 }
 
 #[rstest]
-fn a_drain_empties_it_of_clients_serves_what_still_comes_and_may_be_taken_back() {
+fn a_drain_closes_idle_clients_accepts_late_events_and_can_be_resumed() {
     let (forwarder, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     let mut idle = TcpStream::connect(forwarder.address).expect("connects");
     idle.write_all(UP).expect("write succeeds");
@@ -156,7 +159,7 @@
         assert_eq!(
             forwarder.call_admin("GET", "/-/ready"),
             200,
-            "it does its work on what it holds"
+            "it still processes accepted events"
         );
         idle.set_read_timeout(Some(LONG)).expect("a socket");
         assert_eq!(
@@ -164,7 +167,8 @@
             0,
             "idle connections are closed"
         );
-        // What the front sent before it knew is taken on and delivered.
+        // An event that the load balancer in front sent before it noticed the drain is accepted and
+        // delivered.
         let late = format!("late{round}");
         let (status, head) =
             forwarder.exchange(&event_request(&late, "charge", "Cookie: about=5\r\n"));
