--- a/forwarder/server/tests/restarts.rs
+++ b/forwarder/server/tests/restarts.rs
@@ -1,4 +1,4 @@
-//! What ends and starts again over one folder: nothing that was promised is lost.
+//! Processes that end and start again in one folder: no accepted event is lost.
 
 mod peers;
 
@@ -17,39 +17,39 @@
 #[case("job", "-TERM", true)]
 #[case("order", "-KILL", true)]
 #[case("charge", "-KILL", false)]
-fn a_forwarder_that_ended_still_owes_what_it_took(
+fn a_restarted_forwarder_processes_its_accepted_events(
     #[case] traffic: &str,
     #[case] signal: &str,
-    #[case] again: bool,
+    #[case] resent: bool,
 ) {
     let (mut forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.submit("a", traffic, "Cookie: about=5\r\n");
-    let out = receive(&calls);
-    if !again {
+    let in_flight = receive(&calls);
+    if !resent {
         forwarder.submit("b", traffic, "Cookie: about=5\r\n");
     }
     forwarder.restart(signal);
-    drop(out);
-    if !again {
+    drop(in_flight);
+    if !resent {
         assert_eq!(receive(&notices), given_up_notice("a"), "it may have run");
     }
     let call = receive(&calls);
     assert_eq!(
         (call.id(), &call.body[..]),
-        (if again { "a" } else { "b" }, &b"body"[..])
+        (if resent { "a" } else { "b" }, &b"body"[..])
     );
     call.answer(OK);
     forwarder.submit("c", "job", "");
-    assert_eq!(receive(&calls).id(), "c", "nothing else was owed");
+    assert_eq!(receive(&calls).id(), "c", "no other event was pending");
 }
 
-/// Ended right after each 202, whatever the calls were doing: every event has an end, no binding
-/// one two.
+/// The process ends right after each 202, with its calls in any state: every event completes, and
+/// no event of `charge`, which may have side effects, is sent twice.
 #[rstest]
-fn ended_again_and_again_it_loses_nothing_and_repeats_nothing_binding() {
+fn repeated_restarts_lose_no_event_and_repeat_none_with_side_effects() {
     let (mut forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
-    let got = Arc::new(Mutex::new(Vec::new()));
-    let delivered = got.clone();
+    let called = Arc::new(Mutex::new(Vec::new()));
+    let delivered = called.clone();
     thread::spawn(move || {
         for call in calls {
             delivered.lock().unwrap().push(call.id().to_owned());
@@ -64,12 +64,12 @@
     }
     let mut ended = Vec::new();
     let is_over =
-        |id: &String, ended: &[String]| ended.contains(id) || got.lock().unwrap().contains(id);
+        |id: &String, ended: &[String]| ended.contains(id) || called.lock().unwrap().contains(id);
     let by = Instant::now() + LONG;
     while !ids.iter().all(|id| is_over(id, &ended)) {
         assert!(
             Instant::now() < by,
-            "of {ids:?} only {ended:?} and {got:?} have an end"
+            "of {ids:?} only {ended:?} and {called:?} have completed"
         );
         if let Ok(notice) = notices.recv_timeout(Duration::from_millis(50)) {
             assert_eq!(notice["outcome"], "given_up");
@@ -77,7 +77,7 @@
         }
     }
     for (number, id) in ids.iter().enumerate() {
-        let times = got
+        let times = called
             .lock()
             .unwrap()
             .iter()
@@ -95,7 +95,7 @@
 }
 
 #[rstest]
-fn a_notice_is_told_until_it_is_heard_also_across_a_restart() {
+fn a_notice_is_sent_until_acknowledged_also_across_a_restart() {
     let (mut forwarder, calls, notices, _) = start_with_stand_ins(usize::MAX, |_| ());
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
     receive(&calls).answer(ERROR);
@@ -108,12 +108,12 @@
     assert_eq!(receive(&notices), given_up_notice("a"));
     assert!(
         calls.try_recv().is_err(),
-        "b is behind a, whose end nobody has heard"
+        "b waits for a, whose notice is not acknowledged"
     );
 }
 
 #[rstest]
-fn asked_to_end_it_closes_idle_connections_answers_what_comes_and_ends() {
+fn shutdown_closes_idle_connections_rejects_new_requests_and_exits() {
     let (mut forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let mut idle = TcpStream::connect(forwarder.address).expect("connects");
     forwarder.submit("a", "job", "");
@@ -129,29 +129,30 @@
     assert!(calls.try_recv().is_err());
 }
 
-/// A second after its end was asked for nothing is held and nothing more may come: but for the rest
-/// of what has begun.
+/// A second after the start of the shutdown no event is pending and no new request may arrive,
+/// except the rest of one that has begun.
 #[rstest]
-fn who_is_half_way_through_a_request_when_it_is_asked_to_end_gets_an_answer() {
+fn a_client_in_the_middle_of_a_request_at_shutdown_gets_a_response() {
     let (mut forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let request = event_request("a", "job", "");
-    let (mut half, mut said) = (
+    let (mut partial, mut response) = (
         TcpStream::connect(forwarder.address).expect("connects"),
         Vec::new(),
     );
-    half.write_all(&request[..40]).expect("write succeeds");
+    partial.write_all(&request[..40]).expect("write succeeds");
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
-    // The wait makes sure that all else is over; the verdict does not hang on it.
+    // The wait makes sure that all other work has ended; the result of the test does not depend on
+    // it.
     thread::sleep(Duration::from_millis(1300));
-    // Refused at its end, or told that it took too long: either is an answer.
-    let _ = half.write_all(&request[40..]);
-    half.set_read_timeout(Some(LONG)).expect("a socket");
-    half.read_to_end(&mut said).expect("closed cleanly");
-    let said = String::from_utf8_lossy(&said);
+    // Either a rejection after its last byte or a time-out is a valid response.
+    let _ = partial.write_all(&request[40..]);
+    partial.set_read_timeout(Some(LONG)).expect("a socket");
+    partial.read_to_end(&mut response).expect("closed cleanly");
+    let response = String::from_utf8_lossy(&response);
     assert!(
-        said.starts_with("HTTP/1.1 503 ") || said.starts_with("HTTP/1.1 408 "),
-        "{said}"
+        response.starts_with("HTTP/1.1 503 ") || response.starts_with("HTTP/1.1 408 "),
+        "{response}"
     );
     assert!(forwarder.child.wait().expect("process exits").success());
     assert!(calls.try_recv().is_err());
