--- a/forwarder/server/tests/shutdown.rs
+++ b/forwarder/server/tests/shutdown.rs
@@ -1,4 +1,5 @@
-//! Asked to end: whoever comes until then gets an answer, and nothing is sent on.
+//! Shutdown: each request that arrives before the process ends gets a response, and no event is
+//! forwarded.
 
 mod peers;
 
@@ -15,29 +16,30 @@
 use peers::successor::send_hello;
 use peers::*;
 
-/// A connection whose request was half read before the end was asked for; its body has not come.
+/// A connection whose request head the forwarder has read; the body has not been sent.
 fn half_read(forwarder: &Forwarder, id: &str) -> TcpStream {
-    let mut half = TcpStream::connect(forwarder.address).expect("connects");
+    let mut partial = TcpStream::connect(forwarder.address).expect("connects");
     let request = event_request(id, "job", "Expect: 100-continue\r\n");
-    half.write_all(&request[..request.len() - 4])
+    partial
+        .write_all(&request[..request.len() - 4])
         .expect("write succeeds");
-    assert_eq!(read_response(&mut half).0, 100, "its head was read");
-    half
+    assert_eq!(read_response(&mut partial).0, 100, "the head was read");
+    partial
 }
 
-fn ends(mut forwarder: Forwarder) {
+fn expect_clean_exit(mut forwarder: Forwarder) {
     assert!(forwarder.child.wait().expect("process exits").success());
 }
 
 #[rstest]
-fn every_request_that_lies_behind_another_is_answered_and_none_sent_on() {
+fn pipelined_requests_are_all_answered_and_none_is_forwarded() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     let mut stream = half_read(&forwarder, "a");
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
-    let behind = [event_request("b", "job", ""), event_request("c", "job", "")].concat();
+    let pipelined = [event_request("b", "job", ""), event_request("c", "job", "")].concat();
     stream
-        .write_all(&[&b"body"[..], &behind].concat())
+        .write_all(&[&b"body"[..], &pipelined].concat())
         .expect("write succeeds");
     stream.set_read_timeout(Some(LONG)).expect("a socket");
     let mut from = BufReader::new(stream);
@@ -53,19 +55,19 @@
         .map(|head| head.contains("Connection: close\r\n"))
         .collect();
     assert_eq!(closes, [false, false, true]);
-    ends(forwarder);
+    expect_clean_exit(forwarder);
     assert!(calls.try_recv().is_err());
 }
 
-/// The end is due in the very turn in which a client has come: the process stands still from before
-/// until after.
+/// The end of the shutdown is due in the same event loop iteration in which a client connects: the
+/// process is suspended from before until after both.
 #[rstest]
-fn who_comes_in_the_turn_of_the_end_gets_an_answer() {
+fn a_client_in_the_last_iteration_gets_a_response() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
     forwarder.suspend();
-    // Past the second that it stays at least; it cannot end meanwhile.
+    // Longer than the second for which the process stays at least; while suspended it cannot end.
     thread::sleep(Duration::from_millis(1200));
     let mut late = TcpStream::connect(forwarder.address).expect("the kernel accepts it");
     late.write_all(&event_request("late", "job", ""))
@@ -77,14 +79,14 @@
         "{head}"
     );
     assert_eq!(late.read(&mut [0]).expect("closed cleanly"), 0);
-    ends(forwarder);
+    expect_clean_exit(forwarder);
     assert!(calls.try_recv().is_err());
 }
 
-/// Ends that nobody has heard are told where discovery is by then; and to be told twice to end is
-/// nothing new.
+/// Unacknowledged notices are sent to the new address of discovery; a second SIGTERM changes
+/// nothing.
 #[rstest]
-fn signals_are_heeded_while_it_ends() {
+fn signals_are_handled_during_shutdown() {
     let (forwarder, calls, notices, _) = start_with_stand_ins(usize::MAX, |_| ());
     forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
     receive(&calls).answer(ERROR);
@@ -92,53 +94,52 @@
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
     forwarder.signal("-TERM");
-    let (moved, _watches, heard) = discovery_stand_in(0);
+    let (new_address, _watches, notices_at_new) = discovery_stand_in(0);
     let path = forwarder.folder.join("config.json");
     let mut config: Value =
         serde_json::from_slice(&std::fs::read(&path).expect("file exists")).expect("JSON");
-    config["discovery"] = moved.to_string().into();
+    config["discovery"] = new_address.to_string().into();
     std::fs::write(&path, config.to_string()).expect("written");
     forwarder.signal("-HUP");
-    assert_eq!(receive(&heard), given_up_notice("a"));
-    ends(forwarder);
+    assert_eq!(receive(&notices_at_new), given_up_notice("a"));
+    expect_clean_exit(forwarder);
 }
 
-/// Some clients rest until they are ended: nothing waits for them, nor for one whose answer they
-/// have not read.
+/// Shutdown waits neither for clients that stay idle until their connections are closed, nor for a
+/// target that does not respond.
 #[rstest]
-fn it_ends_beside_clients_that_rest_and_targets_that_hang() {
+fn shutdown_completes_despite_idle_clients_and_unresponsive_targets() {
     let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
-    let mut rests = TcpStream::connect(forwarder.address).expect("connects");
-    rests
-        .write_all(&event_request("a", "order", ""))
+    let mut idle = TcpStream::connect(forwarder.address).expect("connects");
+    idle.write_all(&event_request("a", "order", ""))
         .expect("write succeeds");
-    assert_eq!(read_response(&mut rests).0, 202);
-    let hangs = receive(&calls);
-    let mut half = half_read(&forwarder, "b");
+    assert_eq!(read_response(&mut idle).0, 202);
+    let unanswered = receive(&calls);
+    let mut partial = half_read(&forwarder, "b");
     forwarder.signal("-TERM");
-    rests.set_read_timeout(Some(LONG)).expect("a socket");
-    assert_eq!(rests.read(&mut [0]).expect("closed cleanly"), 0);
-    half.write_all(b"body").expect("write succeeds");
-    assert_eq!(read_response(&mut half).0, 503);
+    idle.set_read_timeout(Some(LONG)).expect("a socket");
+    assert_eq!(idle.read(&mut [0]).expect("closed cleanly"), 0);
+    partial.write_all(b"body").expect("write succeeds");
+    assert_eq!(read_response(&mut partial).0, 503);
     let late = forwarder.exchange(&event_request("c", "job", ""));
     assert!(
         late.0 == 503 && late.1.contains("Connection: close\r\n"),
         "{late:?}"
     );
-    ends(forwarder);
-    drop(hangs);
+    expect_clean_exit(forwarder);
+    drop(unanswered);
     assert!(calls.try_recv().is_err());
 }
 
-/// A new process had asked, and takes over after the old one was asked to end: who comes then is
-/// the new one's.
+/// A successor connects before the predecessor is asked to end, and takes over after that: clients
+/// that connect from then on are the successor's.
 #[rstest]
-fn one_that_takes_over_in_the_end_has_all_that_come_from_then_on() {
+fn a_successor_that_takes_over_during_shutdown_gets_all_later_clients() {
     let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
     forwarder.wait_until_ready();
     let (sender, mut receiver) = send_hello(&forwarder.folder, PROTOCOL_VERSION);
     let Ok((Message::State(_), Some(listener))) = block_on(receiver.receive()) else {
-        panic!("the decisions stand still")
+        panic!("no state was sent")
     };
     block_on(sender.send(&Message::Prepared, None)).expect("message sent");
     assert!(matches!(
@@ -153,8 +154,8 @@
     client
         .write_all(&event_request("a", "job", ""))
         .expect("write succeeds");
-    ends(forwarder);
-    // It lies in the queue all the while.
+    expect_clean_exit(forwarder);
+    // The connection stays in the listener's queue until here.
     let (stream, _) = TcpListener::from(listener)
         .accept()
         .expect("connection is left to the new process");
