--- a/forwarder/server/tests/stored_format.rs
+++ b/forwarder/server/tests/stored_format.rs
@@ -1,7 +1,7 @@
-//! A state folder (`PROXY_STATE`) as the version in service wrote it, opened by this one:
-//! `stored_format/state`. It holds events still owed (untried, refused before they ran, attempted,
-//! with a call that was out, with an outcome that nobody has acknowledged), the endpoint list, the
-//! disabled targets and the folder's owner.
+//! Opens `stored_format/state`, a state folder (`PROXY_STATE`) that the version in service wrote.
+//! The folder holds pending events (untried, rejected before they ran, attempted, with a call in
+//! flight, with an unacknowledged outcome), the endpoint list, the disabled targets and the
+//! folder's owner.
 
 mod peers;
 
@@ -18,7 +18,7 @@
 
 use peers::*;
 
-/// Where target `t` stood; a copy of the folder names another address.
+/// The address of target `t` in the fixture; copies of the folder contain another one.
 const ADDRESS: &str = "127.0.0.1:1\"";
 const FILES: [&str; 4] = ["bans", "ledger", "list", "owner"];
 
@@ -26,7 +26,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/stored_format/state")
 }
 
-/// A copy of the folder, in which the target stands at `address`.
+/// Copies the folder, with `address` as the target's address.
 fn copy(to: &Path, address: SocketAddr) {
     for file in FILES {
         fs::copy(fixture().join(file), to.join(file)).expect("copied");
@@ -40,8 +40,8 @@
     list.replace(ADDRESS, &format!("{address}\""))
 }
 
-/// An event as the log says it: attempts, when the first was made that may have run, when the last
-/// was made that had no outcome, and the outcome with its advice in ms.
+/// An event in the log: the number of attempts, the time of the first attempt that may have run,
+/// the time of the last attempt if it had no outcome, and the outcome with its retry advice in ms.
 type Row = (
     u32,
     Option<f64>,
@@ -50,10 +50,10 @@
 );
 
 #[rstest]
-fn the_log_holds_exactly_the_events_that_were_owed() {
+fn the_log_contains_exactly_the_pending_events() {
     let folder = tempfile::tempdir().expect("a folder for the test");
     copy(folder.path(), "127.0.0.1:9".parse().expect("an address"));
-    let (_, owed) = EventLog::open(folder.path(), 3_000_000).expect("opens");
+    let (_, pending) = EventLog::open(folder.path(), 3_000_000).expect("opens");
     let at = |of: Option<(f64, String)>| {
         of.map(|(at, zone)| {
             assert_eq!(zone, "z");
@@ -61,24 +61,27 @@
         })
     };
     let mut rows: BTreeMap<String, Row> = BTreeMap::new();
-    for owed in owed {
-        let id = owed.event.id.to_string();
-        assert_eq!(owed.event.destination, 1);
-        assert_eq!(owed.event.deadline, 4e12);
-        // Of an event with an outcome body and attempts are dropped.
-        let body = if owed.outcome.is_some() {
+    for pending in pending {
+        let id = pending.event.id.to_string();
+        assert_eq!(pending.event.destination, 1);
+        assert_eq!(pending.event.deadline, 4e12);
+        // The log drops the body and the attempts of an event with an outcome.
+        let body = if pending.outcome.is_some() {
             String::new()
         } else {
             format!("body of {id}")
         };
-        assert_eq!(&*owed.event.body, body.as_bytes());
+        assert_eq!(&*pending.event.body, body.as_bytes());
         let row = (
-            owed.attempts,
-            at(owed.may_have_run),
-            at(owed.in_flight),
-            owed.outcome,
+            pending.attempts,
+            at(pending.may_have_run),
+            at(pending.in_flight),
+            pending.outcome,
+        );
+        assert!(
+            rows.insert(id, row).is_none(),
+            "the log contains an event twice"
         );
-        assert!(rows.insert(id, row).is_none(), "an event stands twice");
     }
     let expected = [
         ("untried", (0, None, None, None)),
@@ -98,7 +101,7 @@
     assert_eq!(rows, expected);
 }
 
-struct Found {
+struct Running {
     forwarder: Forwarder,
     target: SocketAddr,
     calls: Receiver<Asked>,
@@ -106,15 +109,15 @@
     _watches: Receiver<Asked>,
 }
 
-/// A forwarder over a copy of the folder, whose discovery cannot tell the whole list.
-fn found() -> Found {
+/// Starts a forwarder in a copy of the folder, with a discovery that cannot send the complete list.
+fn start_in_copy() -> Running {
     let (target, calls) = stand_in();
     let (discovery, _watches, notices) = discovery_stand_in(0);
     let mut config = config(discovery, target);
-    // Older than the list in the folder.
+    // Older than the stored list.
     config["known"]["revision"] = json!(1);
     let forwarder = Forwarder::start_prepared(&config, |folder| copy(folder, target));
-    Found {
+    Running {
         forwarder,
         target,
         calls,
@@ -123,34 +126,34 @@
     }
 }
 
-/// As a notice is told to the platform.
-fn handed_back(id: &str, wait: u64) -> Value {
+/// The notice to the platform of a rejected event.
+fn handed_back_notice(id: &str, wait: u64) -> Value {
     json!({"message": id, "outcome": "handed_back", "retry_in_ms": wait})
 }
 
 #[rstest]
-fn exactly_the_owed_events_are_sent_or_told() {
-    let found = found();
-    let (mut called, mut told) = (BTreeMap::new(), Vec::new());
+fn exactly_the_pending_events_are_sent_or_reported() {
+    let running = start_in_copy();
+    let (mut called, mut notices) = (BTreeMap::new(), Vec::new());
     let by = Instant::now() + LONG;
     // A notice is sent again until its acknowledgement has arrived.
-    let distinct = |told: &[Value]| {
-        let messages = told.iter().map(|notice| notice["message"].to_string());
+    let distinct = |notices: &[Value]| {
+        let messages = notices.iter().map(|notice| notice["message"].to_string());
         messages.collect::<BTreeSet<_>>().len()
     };
-    while called.len() < 6 || distinct(&told) < 3 {
-        assert!(Instant::now() < by, "only {called:?} and {told:?}");
-        if let Ok(call) = found.calls.recv_timeout(Duration::from_millis(10)) {
+    while called.len() < 6 || distinct(&notices) < 3 {
+        assert!(Instant::now() < by, "only {called:?} and {notices:?}");
+        if let Ok(call) = running.calls.recv_timeout(Duration::from_millis(10)) {
             let id = call.id().to_owned();
             assert_eq!(call.body, format!("body of {id}").as_bytes());
             let key = call.field("Idempotency-Key").map(str::to_owned);
             call.answer(OK);
             assert!(
                 called.insert(id, key).is_none(),
-                "a call of an event that was delivered"
+                "a delivered event is called again"
             );
         }
-        told.extend(found.notices.try_iter());
+        notices.extend(running.notices.try_iter());
     }
     let ids = [
         "charge-behind",
@@ -165,58 +168,58 @@
     let expected = [
         given_up_notice("charge-out"),
         given_up_notice("unheard"),
-        handed_back("unheard-wait", 1_500),
+        handed_back_notice("unheard-wait", 1_500),
     ];
-    let only_expected = |told: &[Value]| told.iter().all(|notice| expected.contains(notice));
-    assert!(only_expected(&told), "{told:?}");
+    let only_expected = |notices: &[Value]| notices.iter().all(|notice| expected.contains(notice));
+    assert!(only_expected(&notices), "{notices:?}");
     assert!(
-        expected.iter().all(|notice| told.contains(notice)),
-        "{told:?}"
+        expected.iter().all(|notice| notices.contains(notice)),
+        "{notices:?}"
     );
-    found.forwarder.submit("fresh", "job", "");
-    let call = receive(&found.calls);
-    assert_eq!(call.id(), "fresh", "nothing else was owed");
+    running.forwarder.submit("fresh", "job", "");
+    let call = receive(&running.calls);
+    assert_eq!(call.id(), "fresh", "no other event was pending");
     call.answer(OK);
-    let later: Vec<Value> = found.notices.try_iter().collect();
+    let later: Vec<Value> = running.notices.try_iter().collect();
     assert!(only_expected(&later), "{later:?}");
 }
 
 #[rstest]
-fn list_disabled_targets_and_owner_stay_as_they_were_written() {
-    let found = found();
-    found.forwarder.wait_until_ready();
+fn list_disabled_targets_and_owner_keep_their_format() {
+    let running = start_in_copy();
+    running.forwarder.wait_until_ready();
     let read =
-        |file: &str| fs::read_to_string(found.forwarder.folder.join(file)).expect("file exists");
-    // The list is written anew at the start.
-    assert_eq!(read("list"), list_at(found.target));
+        |file: &str| fs::read_to_string(running.forwarder.folder.join(file)).expect("file exists");
+    // The list is rewritten at the start.
+    assert_eq!(read("list"), list_at(running.target));
     assert_eq!(read("owner"), "n0");
     let bans = fs::read_to_string(fixture().join("bans")).expect("file exists");
     assert_eq!(read("bans"), bans);
-    // `u` is disabled already; enabled and disabled again, it stands in the same record.
+    // `u` is disabled in the fixture; enabling and disabling it again yields the same file.
     assert_eq!(
-        found.forwarder.call_admin("POST", "/-/targets/u/enable"),
+        running.forwarder.call_admin("POST", "/-/targets/u/enable"),
         200
     );
     assert_ne!(read("bans"), bans);
     assert_eq!(
-        found.forwarder.call_admin("POST", "/-/targets/u/disable"),
+        running.forwarder.call_admin("POST", "/-/targets/u/disable"),
         200
     );
     assert_eq!(read("bans"), bans);
 }
 
 #[rstest]
-fn the_folder_of_another_forwarder_is_refused() {
+fn the_folder_of_another_forwarder_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder for the test");
-    let away: SocketAddr = "127.0.0.1:1".parse().expect("an address");
-    copy(folder.path(), away);
-    let mut config = config(away, away);
+    let unused: SocketAddr = "127.0.0.1:1".parse().expect("an address");
+    copy(folder.path(), unused);
+    let mut config = config(unused, unused);
     config["name"] = json!("n1");
     let file = folder.path().join("config.json");
     fs::write(&file, config.to_string()).expect("written");
-    let said = expect_start_error(&file, folder.path());
+    let output = expect_start_error(&file, folder.path());
     assert!(
-        said.contains("the folder is \"n0\"'s, and PROXY_NAME is \"n1\""),
-        "{said}"
+        output.contains("the folder is \"n0\"'s, and PROXY_NAME is \"n1\""),
+        "{output}"
     );
 }
