--- a/forwarder/server/tests/target_connections.rs
+++ b/forwarder/server/tests/target_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to a target, and what crosses with their coming up, their rest and their way back.
+//! Connections to a target whose connect, use or return to the pool coincides with another event.
 
 mod peers;
 
@@ -11,7 +11,8 @@
 use peers::held::*;
 use peers::*;
 
-/// A call is out at the old address while the target moves; its connection comes back after that.
+/// A call is in flight at the old address while the target moves; its connection returns to the
+/// pool after the move.
 #[rstest]
 fn a_connection_to_a_former_address_is_not_used_after_a_move() {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
@@ -22,16 +23,18 @@
     }
     let call = receive(&old_calls);
     receive(&watches).answer(&changes_response(&[member("t", new, "up")]));
-    let _next = receive(&watches);
+    let _next_watch = receive(&watches);
     call.answer(OK);
-    // The next of its key goes once its end is known, and the connection has come back before.
+    // The next event of the order key is sent once the call's outcome is processed, and the
+    // connection has returned before.
     assert_eq!(receive(&new_calls).id(), "b");
     assert!(old_calls.try_recv().is_err());
 }
 
-/// What is not written when the target moves is not written where it was: another may listen there.
+/// A call that is not written when its target moves is not written to the old address, where
+/// another server may listen.
 #[rstest]
-fn a_call_whose_target_moves_while_it_dials_goes_to_the_new_address_alone() {
+fn a_call_whose_target_moves_during_the_connect_goes_only_to_the_new_address() {
     let mut old = HeldTarget::new();
     let (new, new_calls) = stand_in();
     let (discovery, watches, _notices) = discovery_stand_in(0);
@@ -40,17 +43,17 @@
     forwarder.submit("a", "job", "");
     old.wait_for_dial();
     receive(&watches).answer(&changes_response(&[member("t", new, "up")]));
-    let _next = receive(&watches);
-    let (late, written) = channel();
-    thread::spawn(move || late.send(read_until_closed(&mut old.accept_dial())));
+    let _next_watch = receive(&watches);
+    let (bytes_at_old, written) = channel();
+    thread::spawn(move || bytes_at_old.send(read_until_closed(&mut old.accept_dial())));
     assert_eq!(receive(&new_calls).id(), "a");
     assert_eq!(written.try_iter().collect::<String>(), "");
 }
 
-/// The connection of a call comes up while the process stands still, and so does the word that its
-/// target leaves.
+/// While the process is suspended, a call's connection is established and a page arrives in which
+/// the call's target is draining.
 #[rstest]
-fn a_call_whose_target_leaves_while_the_process_stands_still_is_not_written() {
+fn a_call_whose_target_drains_while_the_process_is_suspended_is_not_written() {
     let mut target = HeldTarget::new();
     let (discovery, watches, _notices) = discovery_stand_in(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
@@ -70,9 +73,10 @@
     assert_eq!(read_until_closed(&mut call), "");
 }
 
-/// Another call's answer tells the target's wait while the process stands still.
+/// While the process is suspended, the response to another call asks for a wait before the target's
+/// next call.
 #[rstest]
-fn a_call_that_crosses_with_a_told_wait_while_the_process_stands_still_is_not_written() {
+fn a_call_whose_target_asks_for_a_wait_while_the_process_is_suspended_is_not_written() {
     let mut target = HeldTarget::new();
     let (discovery, _watches, _notices) = discovery_stand_in(0);
     let mut config = config(discovery, target.address());
@@ -85,8 +89,8 @@
     target.wait_for_dial();
     forwarder.suspend();
     let mut second = target.accept_dial();
-    let wait = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 20000\r\nContent-Length: 0\r\n\r\n";
-    std::io::Write::write_all(&mut first, wait.as_bytes()).expect("connection is open");
+    let retry_later = "HTTP/1.1 429 Wait\r\nX-Retry-In-Ms: 20000\r\nContent-Length: 0\r\n\r\n";
+    std::io::Write::write_all(&mut first, retry_later.as_bytes()).expect("connection is open");
     forwarder.signal("-CONT");
     assert_eq!(read_until_closed(&mut second), "");
 }
