--- a/forwarder/server/tests/upgrade.rs
+++ b/forwarder/server/tests/upgrade.rs
@@ -1,5 +1,4 @@
-//! A new version starts beside a running process: real processes on one folder, each side ended at
-//! each step.
+//! Hot restarts between real processes in one folder.
 
 mod peers;
 
@@ -14,69 +13,77 @@
 use peers::*;
 
 #[rstest]
-fn order_connections_and_half_read_requests_go_on_in_the_new_process() {
+fn order_connections_and_incomplete_requests_continue_in_the_successor() {
     let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
-    let mut regular = TcpStream::connect(first.address).expect("connects");
-    regular
+    let mut active = TcpStream::connect(first.address).expect("connects");
+    active
         .write_all(&event_request("a", "charge", ORDER_KEY_COOKIE))
         .expect("write succeeds");
-    assert_eq!(read_response(&mut regular).0, 202);
-    let out = receive(&calls);
+    assert_eq!(read_response(&mut active).0, 202);
+    let in_flight = receive(&calls);
     first.submit("b", "charge", ORDER_KEY_COOKIE);
     let whole = event_request("c", "charge", ORDER_KEY_COOKIE);
-    let mut half = TcpStream::connect(first.address).expect("connects");
-    half.write_all(&whole[..40]).expect("write succeeds");
-    let silent = TcpStream::connect(first.address).expect("connects");
+    let mut partial = TcpStream::connect(first.address).expect("connects");
+    partial.write_all(&whole[..40]).expect("write succeeds");
+    let unused = TcpStream::connect(first.address).expect("connects");
 
     let second = Forwarder::start_in(first.folder.clone());
     second.wait_until_ready();
-    assert_eq!(first.call_admin("GET", "/-/ready"), 503, "one decides");
+    assert_eq!(
+        first.call_admin("GET", "/-/ready"),
+        503,
+        "only the successor decides"
+    );
     assert_eq!(second.address, first.address, "the listener is the same");
-    half.write_all(&whole[40..]).expect("write succeeds");
-    assert_eq!(read_response(&mut half).0, 202, "read here, decided there");
-    // These never had to connect again.
-    regular
+    partial.write_all(&whole[40..]).expect("write succeeds");
+    assert_eq!(
+        read_response(&mut partial).0,
+        202,
+        "read by the predecessor, decided by the successor"
+    );
+    // These clients keep their connections.
+    active
         .write_all(&event_request("d", "job", ""))
         .expect("stays open");
-    assert_eq!(read_response(&mut regular).0, 202);
-    let mut silent = silent;
-    silent
+    assert_eq!(read_response(&mut active).0, 202);
+    let mut unused = unused;
+    unused
         .write_all(&event_request("e", "job", ""))
         .expect("stays open");
-    assert_eq!(read_response(&mut silent).0, 202);
-    let free = [receive(&calls), receive(&calls)];
-    let mut ids = free.each_ref().map(|call| call.id().to_owned());
+    assert_eq!(read_response(&mut unused).0, 202);
+    let of_no_key = [receive(&calls), receive(&calls)];
+    let mut ids = of_no_key.each_ref().map(|call| call.id().to_owned());
     ids.sort();
     assert_eq!(
         ids,
         ["d", "e"],
-        "nothing of the key goes while its head is out"
+        "no event of the order key is sent while the first is in flight"
     );
-    for call in free {
+    for call in of_no_key {
         call.answer(OK);
     }
-    // A copy of an id that the first process has.
+    // The id of an event that is in flight in the first process.
     assert_eq!(
         second
             .exchange(&event_request("a", "charge", ORDER_KEY_COOKIE))
             .0,
         503
     );
-    out.answer(OK);
+    in_flight.answer(OK);
     for id in ["b", "c"] {
         let call = receive(&calls);
         assert_eq!(call.id(), id);
         call.answer(OK);
     }
-    // Nothing is left in the first.
+    // The first process has no work left.
     let mut first = first;
     assert!(first.child.wait().expect("process exits").success());
 }
 
-/// Most of what may be open: while they go over, each counts once.
+/// Most of the connections that may be open: during the handover each counts once.
 #[rstest]
-fn regulars_by_the_hundred_keep_their_connections() {
+fn more_than_a_hundred_active_clients_keep_their_connections() {
     let (first, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     let up = |stream: &mut TcpStream| {
@@ -85,30 +92,30 @@
             .expect("stays open");
         read_response(stream).0
     };
-    let mut regulars: Vec<_> = (0..150)
+    let mut active: Vec<_> = (0..150)
         .map(|_| TcpStream::connect(first.address).expect("connects"))
         .collect();
     for _ in 0..2 {
-        assert!(regulars.iter_mut().all(|stream| up(stream) == 200));
+        assert!(active.iter_mut().all(|stream| up(stream) == 200));
     }
     let second = Forwarder::start_in(first.folder.clone());
-    assert!(regulars.iter_mut().all(|stream| up(stream) == 200));
+    assert!(active.iter_mut().all(|stream| up(stream) == 200));
     drop(second);
 }
 
-/// What the old process had out when it was killed may have run.
+/// A call of the predecessor's that is in flight when the predecessor is killed may have run.
 #[rstest]
-fn killed_after_the_change_the_old_process_loses_nothing() {
+fn a_predecessor_killed_after_the_handover_loses_no_event() {
     let (first, calls, notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
-    let out = receive(&calls);
+    let in_flight = receive(&calls);
     first.submit("b", "charge", ORDER_KEY_COOKIE);
     let second = Forwarder::start_in(first.folder.clone());
     second.wait_until_ready();
     first.signal("-KILL");
     assert_eq!(receive(&notices), given_up_notice("a"), "it may have run");
-    drop(out);
+    drop(in_flight);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
     call.answer(OK);
@@ -116,21 +123,21 @@
 
 #[rstest]
 #[case(PROTOCOL_VERSION + 1, "another version")]
-fn one_that_speaks_otherwise_is_told_no(#[case] version: u32, #[case] why: &str) {
+fn a_successor_of_another_protocol_version_is_declined(#[case] version: u32, #[case] why: &str) {
     let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
-    let (_passage, mut receiver) = send_hello(&first.folder, version);
+    let (_sender, mut receiver) = send_hello(&first.folder, version);
     assert!(
-        matches!(block_on(receiver.receive()), Ok((Message::Declined { reason: said }, _)) if said.contains(why))
+        matches!(block_on(receiver.receive()), Ok((Message::Declined { reason: text }, _)) if text.contains(why))
     );
     first.submit("a", "job", "");
     assert_eq!(receive(&calls).id(), "a");
 }
 
-/// The old process dies before it hands over: the new one takes the lock, and starts from the
-/// ledger.
+/// The predecessor is killed before it hands over: the successor takes the lock and starts from the
+/// event log.
 #[rstest]
-fn an_old_process_that_says_nothing_is_waited_for_until_it_has_gone() {
+fn an_unresponsive_predecessor_is_awaited_until_it_has_ended() {
     let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "job", "");
@@ -138,7 +145,7 @@
     first.suspend();
     let folder = first.folder.clone();
     let second = std::thread::spawn(move || Forwarder::start_in(folder));
-    // It waits beside the one that stands still, and never decides beside it.
+    // The successor waits for the suspended predecessor, and decides nothing until that has ended.
     first.signal("-KILL");
     first.child.wait().expect("process exits");
     let second = second.join().expect("process starts");
@@ -150,7 +157,7 @@
 }
 
 #[rstest]
-fn a_folder_that_another_holds_and_does_not_hand_over_ends_the_start_with_one_line() {
+fn a_locked_folder_without_a_handover_ends_the_start_with_one_line() {
     let (first, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     std::fs::remove_file(first.folder.join("handover")).expect("file exists");
@@ -163,56 +170,56 @@
 }
 
 #[rstest]
-fn a_drain_and_a_ban_go_to_the_new_process_and_operators_at_the_old_one_are_heard() {
+fn drains_and_disabled_targets_are_handed_over_and_admin_commands_are_relayed() {
     let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     assert_eq!(first.call_admin("POST", "/-/targets/t/disable"), 200);
-    // A request half read keeps the first process there.
+    // An incomplete request keeps the first process running.
     let whole = event_request("a", "job", "");
-    let mut half = TcpStream::connect(first.address).expect("connects");
-    half.write_all(&whole[..40]).expect("write succeeds");
+    let mut partial = TcpStream::connect(first.address).expect("connects");
+    partial.write_all(&whole[..40]).expect("write succeeds");
     assert_eq!(first.call_admin("POST", "/-/drain"), 200);
     let second = Forwarder::start_in(first.folder.clone());
     second.wait_until_ready();
     assert_eq!(
         second.exchange(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").0,
         503,
-        "it is still being emptied"
+        "the drain is still in effect"
     );
     assert_eq!(
         first.call_admin("POST", "/-/resume"),
         200,
-        "asked at the old address, done in the new process"
+        "sent to the predecessor, carried out by the successor"
     );
     assert_eq!(
         second.exchange(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").0,
         200
     );
-    half.write_all(&whole[40..]).expect("write succeeds");
-    assert_eq!(read_response(&mut half).0, 202);
+    partial.write_all(&whole[40..]).expect("write succeeds");
+    assert_eq!(read_response(&mut partial).0, 202);
     second.submit("b", "job", "");
-    assert!(calls.try_recv().is_err(), "the target is still left out");
+    assert!(calls.try_recv().is_err(), "the target is still disabled");
     assert_eq!(second.call_admin("POST", "/-/targets/t/enable"), 200);
     let mut ids = [receive(&calls), receive(&calls)].map(|call| call.id().to_owned());
     ids.sort();
     assert_eq!(ids, ["a", "b"]);
 }
 
-/// Where the platform gives no Unix socket, or no lock on the folder, or nobody ever comes: a plain
-/// start with one line in the log, and a plain restart. A folder in the way of the file stands for
-/// such a platform.
+/// On a platform without Unix sockets or file locks, the forwarder logs one warning and starts and
+/// restarts alone, as it does without a successor. A folder in place of the file simulates such a
+/// platform.
 #[rstest]
 #[case::no_socket(Some("handover"), Some("hot restart not possible"))]
 #[case::no_lock(Some("lock"), Some("state folder cannot be locked"))]
-#[case::nobody_comes(None, None)]
-fn without_a_way_to_hand_over_it_starts_and_ends_as_one_alone(
-    #[case] in_the_way: Option<&str>,
+#[case::no_successor(None, None)]
+fn without_a_handover_the_forwarder_starts_and_restarts_alone(
+    #[case] blocked_file: Option<&str>,
     #[case] said: Option<&str>,
 ) {
     let (target, calls) = stand_in();
     let (discovery, _watches, _notices) = discovery_stand_in(0);
     let mut forwarder = Forwarder::start_prepared(&config(discovery, target), |folder| {
-        if let Some(name) = in_the_way {
+        if let Some(name) = blocked_file {
             std::fs::create_dir(folder.join(name)).expect("created");
         }
     });
@@ -226,10 +233,10 @@
         assert_eq!(call.id(), id);
         call.answer(OK);
         let log = forwarder.log.lock().unwrap().clone();
-        let trouble = log
+        let warnings = log
             .lines()
             .filter(|line| line.contains(" WARN ") && !line.contains("discovery"));
-        assert_eq!(trouble.count(), said.iter().len(), "{log}");
+        assert_eq!(warnings.count(), said.iter().len(), "{log}");
         forwarder.restart("-KILL");
     }
 }
