--- a/forwarder/server/tests/upgrade_signals.rs
+++ b/forwarder/server/tests/upgrade_signals.rs
@@ -1,5 +1,5 @@
-//! Signals to a running process while a new version takes over: it stands still, and has said
-//! *yours*, so that nothing goes on there before the story lets it.
+//! Signals to a process during a hot restart: the process has sent `Ownership` and is paused until
+//! the test lets it continue.
 
 mod peers;
 
@@ -10,8 +10,8 @@
 use peers::successor::send_hello;
 use peers::*;
 
-/// A new process that was told *yours* and has not begun.
-fn told_yours(first: &Forwarder) -> (MessageSender, MessageReceiver) {
+/// A successor that has received `Ownership` and has not activated.
+fn successor_with_ownership(first: &Forwarder) -> (MessageSender, MessageReceiver) {
     let (sender, mut receiver) = send_hello(&first.folder, PROTOCOL_VERSION);
     assert!(matches!(
         block_on(receiver.receive()),
@@ -25,65 +25,68 @@
     (sender, receiver)
 }
 
-/// Told to end meanwhile, it goes on once the new one has gone without its frame, and ends in
-/// order.
+/// A process that is asked to end while paused continues once the successor has disconnected
+/// without a change of owner, and then shuts down in order.
 #[rstest]
-fn asked_to_end_while_it_stands_still_it_ends_in_order_when_the_new_one_has_gone() {
+fn shutdown_during_the_pause_completes_after_the_successor_has_disconnected() {
     let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
-    let out = receive(&calls);
-    let heir = told_yours(&first);
+    let in_flight = receive(&calls);
+    let successor = successor_with_ownership(&first);
     first.signal("-TERM");
     first.wait_for_log("shutdown started");
-    drop(heir);
-    out.answer(OK);
+    drop(successor);
+    in_flight.answer(OK);
     assert!(first.child.wait().expect("process exits").success());
     let folder = std::mem::take(&mut first.folder);
     let second = Forwarder::start_in(folder);
     second.submit("b", "job", "");
-    assert_eq!(receive(&calls).id(), "b", "nothing was owed any more");
+    assert_eq!(receive(&calls).id(), "b", "no event was pending");
 }
 
-/// Where the new one begins after all, what is out in the old one comes to it, and the old one
-/// ends.
+/// If the successor activates, it receives the outcome of the predecessor's call in flight, and the
+/// predecessor ends.
 #[rstest]
-fn asked_to_end_while_it_stands_still_it_passes_on_what_is_out_when_the_new_one_begins() {
+fn shutdown_during_the_pause_relays_calls_in_flight_to_an_activated_successor() {
     let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
-    let out = receive(&calls);
-    let (sender, mut receiver) = told_yours(&first);
+    let in_flight = receive(&calls);
+    let (sender, mut receiver) = successor_with_ownership(&first);
     first.signal("-TERM");
     first.wait_for_log("shutdown started");
-    let (mut own, _) =
+    let (mut log, _) =
         plankhill_event_log::EventLog::open(&first.folder, 3_000_000).expect("opens");
-    own.change_owner().expect("write succeeds");
+    log.change_owner().expect("write succeeds");
     block_on(sender.send(&Message::Activated, None)).expect("message sent");
     first.wait_for_log("handed over to successor");
-    out.answer(OK);
+    in_flight.answer(OK);
     let ended =
-        std::iter::from_fn(|| block_on(receiver.receive()).ok()).find_map(|(word, _)| match word {
-            Message::AttemptEnded(event, ended) => {
-                Some((event.0.to_string(), ended.event_complete))
+        std::iter::from_fn(|| block_on(receiver.receive()).ok()).find_map(|(message, _)| {
+            match message {
+                Message::AttemptEnded(event, ended) => {
+                    Some((event.0.to_string(), ended.event_complete))
+                }
+                _ => None,
             }
-            _ => None,
         });
     assert_eq!(ended, Some(("a".to_owned(), true)));
     assert!(first.child.wait().expect("process exits").success());
 }
 
-/// Discovery moves meanwhile: it is asked there, and nothing that is held is lost.
+/// The address of discovery changes while the process is paused: the process uses the new address,
+/// and no pending event is lost.
 #[rstest]
-fn told_of_another_discovery_while_it_stands_still_it_goes_on_there() {
+fn a_new_discovery_address_during_the_pause_is_used_after_it() {
     let (target, calls) = stand_in();
     let (old, _old_watches, _old_notices) = discovery_stand_in(0);
     let (new, watches, notices) = discovery_stand_in(0);
     let first = Forwarder::start(&config(old, target));
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
-    let out = receive(&calls);
-    let heir = told_yours(&first);
+    let in_flight = receive(&calls);
+    let successor = successor_with_ownership(&first);
     std::fs::write(
         first.folder.join("config.json"),
         config(new, target).to_string(),
@@ -91,12 +94,12 @@
     .expect("written");
     first.signal("-HUP");
     first.wait_for_log("discovery moved");
-    drop(heir);
-    out.answer(ERROR);
+    drop(successor);
+    in_flight.answer(ERROR);
     assert_eq!(
         receive(&notices),
         given_up_notice("a"),
-        "its end is told there"
+        "the notice is sent to the new address"
     );
     drop(receive(&watches));
     first.submit("b", "job", "");
