--- a/forwarder/server/tests/upgrade_steps.rs
+++ b/forwarder/server/tests/upgrade_steps.rs
@@ -1,4 +1,4 @@
-//! A new version starts beside a running process, and each side ends at each step.
+//! Hot restarts in which either process ends after each step of the handover.
 
 mod peers;
 
@@ -9,107 +9,115 @@
 use peers::successor::send_hello;
 use peers::*;
 
-/// After which step it ends.
+/// The step after which the process ends.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
-enum Ends {
+enum LastStep {
     Hello,
     State,
     Prepared,
-    Yours,
-    ItsFrame,
+    Ownership,
+    OwnerChange,
 }
 
-/// The new process ends at each step: before its frame the old one goes on as if nothing had been.
+/// The successor ends after each step: until it has written the change of owner, the predecessor
+/// continues as if no handover had begun.
 #[rstest]
-fn the_new_process_may_end_at_any_step(
-    #[values(Ends::Hello, Ends::State, Ends::Prepared, Ends::Yours, Ends::ItsFrame)] ends: Ends,
+fn the_successor_may_end_after_any_step(
+    #[values(
+        LastStep::Hello,
+        LastStep::State,
+        LastStep::Prepared,
+        LastStep::Ownership,
+        LastStep::OwnerChange
+    )]
+    last_step: LastStep,
 ) {
     let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
-    let out = receive(&calls);
+    let in_flight = receive(&calls);
     first.submit("b", "charge", ORDER_KEY_COOKIE);
     let (sender, mut receiver) = send_hello(&first.folder, PROTOCOL_VERSION);
-    if ends >= Ends::State {
+    if last_step >= LastStep::State {
         assert!(matches!(
             block_on(receiver.receive()),
             Ok((Message::State(_), Some(_)))
         ));
     }
-    if ends >= Ends::Prepared {
+    if last_step >= LastStep::Prepared {
         block_on(sender.send(&Message::Prepared, None)).expect("message sent");
     }
-    if ends >= Ends::Yours {
+    if last_step >= LastStep::Ownership {
         assert!(matches!(
             block_on(receiver.receive()),
             Ok((Message::Ownership, Some(_)))
         ));
     }
-    if ends == Ends::ItsFrame {
-        let ledger = first.folder.join("ledger");
-        let (mut own, _) =
+    if last_step == LastStep::OwnerChange {
+        let log_file = first.folder.join("ledger");
+        let (mut log, _) =
             plankhill_event_log::EventLog::open(&first.folder, 3_000_000).expect("opens");
-        let before = std::fs::metadata(&ledger).expect("file exists").len();
-        own.change_owner().expect("write succeeds");
-        assert!(std::fs::metadata(&ledger).expect("file exists").len() > before);
+        let before = std::fs::metadata(&log_file).expect("file exists").len();
+        log.change_owner().expect("write succeeds");
+        assert!(std::fs::metadata(&log_file).expect("file exists").len() > before);
     }
     drop((sender, receiver));
-    if ends == Ends::ItsFrame {
-        // Who wrote last has ended; a third start reads what there is.
+    if last_step == LastStep::OwnerChange {
+        // The last writer has ended; a third process starts from the event log.
         first.child.wait().expect("process exits");
         let third = Forwarder::start_in(first.folder.clone());
         let call = receive(&calls);
         assert_eq!(
             call.id(),
             "b",
-            "the charge that was out is written off, its key goes on"
+            "the charge in flight is given up, and the next event of its order key is sent"
         );
         call.answer(OK);
-        drop((out, third));
+        drop((in_flight, third));
         return;
     }
-    out.answer(OK);
+    in_flight.answer(OK);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
     call.answer(OK);
     first.submit("c", "job", "");
     assert_eq!(receive(&calls).id(), "c");
-    // And hands over to the next that asks.
+    // The predecessor hands over to the next successor that connects.
     let second = Forwarder::start_in(first.folder.clone());
     second.wait_until_ready();
 }
 
-/// The old process ends at each step; its state, listener and folder are those of a real one.
-/// Either way the new process goes on alone, and what was out may have run.
+/// The predecessor ends after each step; its state, listener and folder are those of a real
+/// process. In each case the successor continues alone, and the call in flight may have run.
 #[rstest]
-fn the_old_process_may_end_at_any_step(
-    #[values(Ends::Hello, Ends::State, Ends::Yours)] ends: Ends,
+fn the_predecessor_may_end_after_any_step(
+    #[values(LastStep::Hello, LastStep::State, LastStep::Ownership)] last_step: LastStep,
 ) {
     let (mut first, calls, notices, _watches) = start_with_stand_ins(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
-    let out = receive(&calls);
+    let in_flight = receive(&calls);
     first.submit("b", "charge", ORDER_KEY_COOKIE);
-    let (_heir, mut receiver) = send_hello(&first.folder, PROTOCOL_VERSION);
+    let (_sender, mut receiver) = send_hello(&first.folder, PROTOCOL_VERSION);
     let Ok((state @ Message::State(_), Some(listener))) = block_on(receiver.receive()) else {
-        panic!("a state")
+        panic!("no state was sent")
     };
     first.signal("-KILL");
     first.child.wait().expect("process exits");
     let lock = StateLock::try_acquire(&first.folder)
         .expect("locks")
         .expect("lock is free");
-    let asked = bind(&first.folder).expect("a socket");
+    let handover_listener = bind(&first.folder).expect("a socket");
     let folder = first.folder.clone();
     let second = std::thread::spawn(move || Forwarder::start_in(folder));
     block_on(async {
-        let sender = MessageSender::new(asked.accept().await.expect("connects").0);
+        let sender = MessageSender::new(handover_listener.accept().await.expect("connects").0);
         let mut receiver = sender.receiver();
         assert!(matches!(
             receiver.receive().await,
             Ok((Message::Hello { .. }, _))
         ));
-        if ends >= Ends::State {
+        if last_step >= LastStep::State {
             sender
                 .send(&state, Some(listener))
                 .await
@@ -119,7 +127,7 @@
                 Ok((Message::Prepared, _))
             ));
         }
-        if ends >= Ends::Yours {
+        if last_step >= LastStep::Ownership {
             sender
                 .send(
                     &Message::Ownership,
@@ -133,10 +141,10 @@
             ));
         }
     });
-    drop((asked, lock));
+    drop((handover_listener, lock));
     let second = second.join().expect("process starts");
     assert_eq!(receive(&notices), given_up_notice("a"), "it may have run");
-    drop(out);
+    drop(in_flight);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
     call.answer(OK);
