--- a/forwarder/server/tests/watch_reconnects.rs
+++ b/forwarder/server/tests/watch_reconnects.rs
@@ -1,5 +1,5 @@
-//! Discovery falls silent in the ways that peers do, or breaks off: the watch on the list is begun
-//! anew.
+//! Discovery stops responding in several ways, or closes the connection: the watch on the endpoint
+//! list is started again on a new connection.
 
 mod peers;
 
@@ -14,11 +14,11 @@
 
 use peers::*;
 
-/// A watch as discovery got it; the story has its connection.
+/// A watch that discovery received, with its connection.
 struct Watch {
     connection: usize,
     wait: Duration,
-    came: Instant,
+    received_at: Instant,
     stream: TcpStream,
 }
 
@@ -30,9 +30,9 @@
     }
 }
 
-/// Discovery without a list for those that start; its connections stay open until the story drops
-/// them.
-fn watched() -> (SocketAddr, Receiver<Watch>) {
+/// Starts discovery, which fails requests for the complete list. Its connections stay open until
+/// the test drops them.
+fn watched_discovery() -> (SocketAddr, Receiver<Watch>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (watch, watches) = channel();
@@ -57,7 +57,7 @@
                         .send(Watch {
                             connection,
                             wait,
-                            came: Instant::now(),
+                            received_at: Instant::now(),
                             stream,
                         })
                         .is_err()
@@ -72,42 +72,42 @@
 }
 
 #[derive(Clone, Copy)]
-enum Falls {
-    /// It never says a word.
+enum Fault {
+    /// Discovery sends nothing.
     Silent,
-    /// It answered once, and whoever it was is gone without a sign.
+    /// Discovery answered once and is gone, with the connection still open.
     HalfOpen,
-    /// Its answer has begun, and a byte comes now and then.
+    /// The response has begun, and continues with a byte every 200 ms.
     Trickling,
 }
 
-/// What a silent watch missed counts as told two seconds after its wait: half of one before, the
-/// next has to be out.
+/// A change that an unanswered watch missed counts as reported two seconds after the watch's wait:
+/// the next watch has to be sent half a second before that.
 #[rstest]
-#[case::silent(Falls::Silent)]
-#[case::half_open(Falls::HalfOpen)]
-#[case::trickling(Falls::Trickling)]
-fn a_watch_that_fell_silent_is_begun_anew_before_its_news_count_as_told(#[case] falls: Falls) {
-    // A busy machine may be late once; one that begins too late is late each time.
-    assert!((0..4).any(|_| is_begun_anew_in_time(falls)));
+#[case::silent(Fault::Silent)]
+#[case::half_open(Fault::HalfOpen)]
+#[case::trickling(Fault::Trickling)]
+fn an_unanswered_watch_is_restarted_before_its_changes_count_as_reported(#[case] fault: Fault) {
+    // A busy machine may be late once; a watch that is always started too late fails each time.
+    assert!((0..4).any(|_| is_restarted_in_time(fault)));
 }
 
-fn is_begun_anew_in_time(falls: Falls) -> bool {
+fn is_restarted_in_time(fault: Fault) -> bool {
     let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, watches) = watched();
+    let (discovery, watches) = watched_discovery();
     let forwarder = Forwarder::start(&config(discovery, old));
-    let mut silent = receive(&watches);
-    match falls {
-        Falls::Silent => (),
-        Falls::HalfOpen => {
-            silent.write(&changes_response(&[]));
-            let goes_on = receive(&watches);
-            assert_eq!(goes_on.connection, silent.connection);
-            silent = goes_on;
+    let mut stalled = receive(&watches);
+    match fault {
+        Fault::Silent => (),
+        Fault::HalfOpen => {
+            stalled.write(&changes_response(&[]));
+            let next_watch = receive(&watches);
+            assert_eq!(next_watch.connection, stalled.connection);
+            stalled = next_watch;
         }
-        Falls::Trickling => {
-            silent.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
-            let mut stream = silent.stream.try_clone().expect("a socket");
+        Fault::Trickling => {
+            stalled.write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n");
+            let mut stream = stalled.stream.try_clone().expect("a socket");
             thread::spawn(move || {
                 while stream.write_all(b" ").is_ok() {
                     thread::sleep(Duration::from_millis(200));
@@ -117,33 +117,34 @@
     }
     let mut again = receive(&watches);
     assert_ne!(
-        again.connection, silent.connection,
-        "the silent one is not asked again"
+        again.connection, stalled.connection,
+        "the unresponsive connection is not used again"
     );
     again.write(&changes_response(&[
         member("t", old, "draining"),
         member("u", new, "up"),
     ]));
-    receive(&watches); // the page was handed on
+    receive(&watches); // the page was passed on
     forwarder.submit("a", "job", "");
     assert_eq!(receive(&new_calls).id(), "a");
     assert!(old_calls.try_recv().is_err());
-    again.came < silent.came + silent.wait + Duration::from_millis(1_500)
+    again.received_at < stalled.received_at + stalled.wait + Duration::from_millis(1_500)
 }
 
-/// Guards the pushed list, which counts as told with no watch open: with the pauses that spare a
-/// discovery of its own to a fleet of 300, so many failures would keep it away for over a minute.
+/// Guards the pushed list, whose changes count as reported while no watch is open: with the
+/// backoffs that a fleet of 300 uses for a shared discovery, this many failures would stop the
+/// watch for over a minute.
 #[rstest]
-fn an_agent_that_breaks_off_again_and_again_is_asked_on_however_large_the_fleet() {
+fn an_agent_that_keeps_disconnecting_is_still_watched_in_any_size_of_fleet() {
     let ((old, _old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, watches) = watched();
-    let mut told = config(discovery, old);
-    told["settings"]["discovery"] = json!("pushed");
-    told["settings"]["balancers"] = json!(300);
-    let forwarder = Forwarder::start(&told);
+    let (discovery, watches) = watched_discovery();
+    let mut config_value = config(discovery, old);
+    config_value["settings"]["discovery"] = json!("pushed");
+    config_value["settings"]["balancers"] = json!(300);
+    let forwarder = Forwarder::start(&config_value);
     let by = Instant::now() + LONG;
     for _ in 0..12 {
-        assert!(Instant::now() < by, "it stays away");
+        assert!(Instant::now() < by, "the watch is not started again");
         receive(&watches)
             .stream
             .shutdown(std::net::Shutdown::Both)
@@ -159,9 +160,9 @@
 }
 
 #[rstest]
-fn a_list_that_comes_indented_and_in_chunks_is_read() {
+fn an_indented_list_in_chunks_is_read() {
     let ((old, _old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, watches) = watched();
+    let (discovery, watches) = watched_discovery();
     let forwarder = Forwarder::start(&config(discovery, old));
     let list: Value =
         json!({"revision": 42, "complete": true, "members": [member("u", new, "up")]});
