--- a/forwarder/server/tests/wire_format.rs
+++ b/forwarder/server/tests/wire_format.rs
@@ -15,8 +15,8 @@
 
 const PINNED: &str = include_str!("wire_format/requests.txt");
 
-/// The pinned text; `address` stands for `{host}` there, and the value of a field that names a time
-/// for `{seconds}`.
+/// The pinned text, with `{host}` replaced by `address`. The text has `{seconds}` for the value of
+/// a field that contains a time.
 fn pinned(name: &str, address: &str) -> String {
     let line = PINNED
         .lines()
@@ -52,11 +52,11 @@
     assert_eq!(without_deadline(&call.head), pinned("call", &host));
     assert_eq!(call.body, b"body");
     call.answer(OK);
-    // Its connections break off until it is checked.
+    // The target closes each connection of a call until a health check arrives.
     forwarder.submit("b", "job", "");
     let by = Instant::now() + LONG;
     loop {
-        assert!(Instant::now() < by, "no health check comes");
+        assert!(Instant::now() < by, "no health check arrives");
         let call = receive(&calls);
         if call.head.starts_with("POST ") {
             call.answer(&CLOSE_CONNECTION.to_string());
@@ -69,16 +69,16 @@
 }
 
 #[rstest]
-fn discovery_is_asked_and_told_as_pinned() {
+fn requests_to_discovery_are_sent_as_pinned() {
     let (target, calls) = stand_in();
     let (discovery, requests) = manual_discovery();
     let host = discovery.to_string();
     let forwarder = Forwarder::start(&config(discovery, target));
-    // The whole list is asked before the program listens, and its answer is waited for only for a
-    // moment.
-    let mut whole = receive(&requests);
-    assert_eq!(whole.head, pinned("list", &host));
-    whole.write(&list_response(42, true, &[member("t", target, "up")]));
+    // The complete list is requested before the forwarder listens, with a short time-out for the
+    // response.
+    let mut complete_list = receive(&requests);
+    assert_eq!(complete_list.head, pinned("list", &host));
+    complete_list.write(&list_response(42, true, &[member("t", target, "up")]));
     let watch = std::iter::repeat_with(|| receive(&requests))
         .find(|request| request.is_watch())
         .expect("iterator is endless");
