--- a/tier/settings/src/bound_value.rs
+++ b/tier/settings/src/bound_value.rs
@@ -1,4 +1,4 @@
-//! A number of the settings file: a whole one, a fraction, or true or false.
+//! A numeric value in the settings file: an integer, a float or a boolean.
 
 use std::fmt;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 /// The value of a bound, in the unit of its key; `true` is read as 1 and `false` as 0.
-#[derive(Debug, Clone, Copy, PartialEq, Serialize)] // `validator` puts the value into its errors.
+#[derive(Debug, Clone, Copy, PartialEq, Serialize)] // `validator` includes the value in its errors.
 pub(crate) struct BoundValue(f64);
 
 impl BoundValue {
@@ -19,13 +19,13 @@
         self.0
     }
 
-    /// The duration of this many seconds. Panics on a value that is negative or no number: checked
-    /// settings hold none.
+    /// Converts the value in seconds to a duration. Panics on a negative value or NaN, which
+    /// validated settings do not contain.
     pub(crate) fn seconds(self) -> Duration {
         Duration::from_secs_f64(self.0)
     }
 
-    /// As [`BoundValue::seconds`], of this many milliseconds.
+    /// Converts the value in milliseconds to a duration. Panics as [`BoundValue::seconds`] does.
     pub(crate) fn milliseconds(self) -> Duration {
         Duration::from_secs_f64(self.0 / 1000.0)
     }
--- a/tier/settings/src/bounds.rs
+++ b/tier/settings/src/bounds.rs
@@ -1,4 +1,4 @@
-//! The table `[bounds]`: the figures of the deployment's rules.
+//! The table `[bounds]`: the time limits in the deployment's rules.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 
 use crate::bound_value::BoundValue;
 
-/// Largest value accepted: a year in milliseconds.
+/// Largest accepted value: one year in milliseconds.
 const MAX_BOUND: f64 = 31_536_000_000.0;
 
-/// The figures of the deployment's rules. Each missing key takes its default, which is the figure
-/// of the deployments known when this was written.
+/// The time limits in the deployment's rules. A missing key takes its default, which is the value
+/// used by the known deployments.
 ///
-/// All keys are checked. Those without an accessor are figures of rules that no process acts on;
-/// the pages of the deployments say what they mean.
+/// All keys are validated. A key without an accessor belongs to a rule that no process implements;
+/// the documentation of the deployments describes its meaning.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, Validate)]
 #[serde(default)]
 pub struct Bounds {
-    /// How long the operator's list of controllers may lag behind.
+    /// Maximum staleness of the operator's list of controllers.
     #[validate(custom(function = check_bound))]
     seed_lag_s: BoundValue,
-    /// Time after the end of a target from which its address may belong to another one.
+    /// Time after a target ends before its address may be reused by another target.
     #[validate(custom(function = check_bound))]
     reuse_after_s: BoundValue,
-    /// Time without a fault after which a machine counts as in touch.
+    /// Time without a fault after which a machine is considered in contact.
     #[validate(custom(function = check_bound))]
     contact_ms: BoundValue,
-    /// Time within which an order of the operator must be acknowledged.
+    /// Time within which an operator's order must be acknowledged.
     #[validate(custom(function = check_bound))]
     ack_ms: BoundValue,
     #[validate(custom(function = check_bound))]
@@ -36,7 +36,8 @@
     drain_ms: BoundValue,
     #[validate(custom(function = check_bound))]
     grace_s: BoundValue,
-    /// Time after a request's last byte from which the request must not be lost in planned work.
+    /// Time after a request's last byte from which the request must not be lost during planned
+    /// maintenance.
     #[validate(custom(function = check_bound))]
     loss_slack_ms: BoundValue,
     #[validate(custom(function = check_bound))]
@@ -46,13 +47,13 @@
     revert_slack_ms: BoundValue,
     #[validate(custom(function = check_bound))]
     max_skew_ms: BoundValue,
-    /// Time after the return of all machines within which service resumes.
+    /// Time within which service resumes after all machines have recovered.
     #[validate(custom(function = check_bound))]
     recover_s: BoundValue,
-    /// Time within which an event of a stream must reach the client.
+    /// Time within which an event in a response stream must reach the client.
     #[validate(custom(function = check_bound))]
     pass_ms: BoundValue,
-    /// A figure of rules that are not in force here.
+    /// Used only by rules that are not in force in this tier.
     #[validate(custom(function = check_bound))]
     again_s: BoundValue,
     /// Time after the end of traffic within which a program earns its smaller value.
@@ -87,12 +88,12 @@
 }
 
 impl Bounds {
-    /// Time after its return for which a machine still counts as lost. Default: 4 s.
+    /// Time after a machine's recovery for which the machine still counts as lost. Default: 4 s.
     pub fn catch_up(&self) -> Duration {
         self.catch_up_s.seconds()
     }
 
-    /// Time after the acknowledgement of `draining` within which a target still takes requests.
+    /// Time after the acknowledgement of `draining` for which a target still accepts requests.
     /// Default: 2000 ms.
     pub fn drain(&self) -> Duration {
         self.drain_ms.milliseconds()
@@ -103,13 +104,13 @@
         self.grace_s.seconds()
     }
 
-    /// Time after its acknowledgement within which a configuration is in force everywhere. Default:
-    /// 2000 ms.
+    /// Time after a configuration's acknowledgement within which the configuration is in force on all
+    /// machines. Default: 2000 ms.
     pub fn propagation(&self) -> Duration {
         self.propagation_ms.milliseconds()
     }
 
-    /// How much an unstable core stretches the bound of propagation. Default: 5000 ms.
+    /// Time added to [`Bounds::propagation`] while the core is unstable. Default: 5000 ms.
     pub fn max_skew(&self) -> Duration {
         self.max_skew_ms.milliseconds()
     }
@@ -119,6 +120,6 @@
     if (0.0..=MAX_BOUND).contains(&bound.value()) {
         return Ok(());
     }
-    let message = "must lie between 0 and 31536000000";
+    let message = "must be between 0 and 31536000000";
     Err(ValidationError::new("range").with_message(message.into()))
 }
--- a/tier/settings/src/error.rs
+++ b/tier/settings/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a settings file cannot be used.
+//! Errors of reading a settings file.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,25 +6,24 @@
 use plankhill_validation::Faults;
 use thiserror::Error;
 
-/// Why a settings file cannot be used.
+/// A settings file cannot be read or is invalid.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The file cannot be opened or read.
     #[error("cannot read the settings file {}: {source}", path.display())]
     Read {
-        /// The file that was asked for.
+        /// Path of the file.
         path: PathBuf,
-        /// What the operating system answered.
+        /// The I/O error.
         source: io::Error,
     },
-    /// The file is no TOML, lacks a key, or has a value that is not allowed; the faults name the
-    /// keys.
+    /// The file is not TOML, lacks a key or has an invalid value; the faults name the keys.
     #[error("settings are not valid: {0}")]
     Invalid(Faults),
 }
 
 impl SettingsError {
-    /// The faults by key; empty if the file could not be read at all.
+    /// The faults with their keys; empty if the file could not be read.
     pub fn faults(&self) -> Faults {
         match self {
             SettingsError::Read { .. } => Faults::new(),
--- a/tier/settings/src/lib.rs
+++ b/tier/settings/src/lib.rs
@@ -1,9 +1,8 @@
-//! Reads and checks the settings file of a process of the serving tier, and what else each of these
-//! processes does with it: the addresses that follow from the settings, and reloading them on a
-//! signal.
+//! Reads and validates the settings file of a process of the serving tier, derives the process
+//! addresses from the settings, and reloads the settings on a signal.
 //!
-//! The file is TOML. Keys that this package does not know are skipped; every error names its key.
-//! Each process owns the [`Settings`] that it has read; there is no shared copy.
+//! The file is TOML. Unknown keys are ignored; an error for an invalid value names its key. Each
+//! process owns its [`Settings`]; there is no shared copy.
 
 mod bound_value;
 mod bounds;
--- a/tier/settings/src/listeners.rs
+++ b/tier/settings/src/listeners.rs
@@ -1,26 +1,25 @@
-//! The table `[listeners_map]`: the addresses at which a process serves callers from outside the
-//! tier.
+//! The table `[listeners_map]`: the addresses at which a process serves callers outside the tier.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Deserializer};
 
-/// Addresses by purpose; a purpose that the role does not serve is absent.
+/// Listen addresses by purpose; `None` for a purpose that the role does not serve.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Deserialize)]
 #[serde(default)]
 pub struct Listeners {
-    /// For requests of clients.
+    /// For client requests.
     #[serde(deserialize_with = "optional_address")]
     pub http: Option<SocketAddr>,
-    /// For readiness: whether this process takes new clients.
+    /// For readiness checks: whether this process accepts new clients.
     #[serde(deserialize_with = "optional_address")]
     pub readiness: Option<SocketAddr>,
-    /// For the operator and for heartbeats of targets.
+    /// For operators and for heartbeats from targets.
     #[serde(deserialize_with = "optional_address")]
     pub admin: Option<SocketAddr>,
 }
 
-/// Reads an address; the empty string stands for none.
+/// Reads an address; an empty string means `None`.
 fn optional_address<'de, D: Deserializer<'de>>(source: D) -> Result<Option<SocketAddr>, D::Error> {
     let text = String::deserialize(source)?;
     if text.is_empty() {
@@ -29,7 +28,7 @@
     match text.parse() {
         Ok(address) => Ok(Some(address)),
         Err(_) => Err(serde::de::Error::custom(format_args!(
-            "{text:?} is no address of the form IP:PORT"
+            "{text:?} is not an address of the form IP:PORT"
         ))),
     }
 }
--- a/tier/settings/src/load.rs
+++ b/tier/settings/src/load.rs
@@ -1,4 +1,4 @@
-//! Finds, reads and checks the settings file.
+//! Locates, reads and validates the settings file.
 
 use std::fs::File;
 use std::io::{self, Read};
@@ -10,13 +10,13 @@
 
 use crate::{Settings, SettingsError};
 
-/// The environment variable that names the settings file.
+/// The environment variable with the path of the settings file.
 pub const PATH_VARIABLE: &str = "PLANKHILL_SETTINGS";
 
-/// The settings file used where the environment names none.
+/// The settings file used if [`PATH_VARIABLE`] is unset or empty.
 pub const DEFAULT_PATH: &str = "/etc/plankhill/local.toml";
 
-/// Largest settings file that is read, in bytes; a real one has about two thousand.
+/// Maximum size of a settings file, in bytes; a typical file has about two thousand.
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
 
 /// Path of the settings file of this process.
@@ -31,8 +31,7 @@
     /// Reads the settings file of this process ([`settings_path`]).
     ///
     /// # Errors
-    /// [`SettingsError`] if the file cannot be read, lacks a key or has a value that is not
-    /// allowed.
+    /// [`SettingsError`] if the file cannot be read, lacks a key or has an invalid value.
     pub fn load() -> Result<Settings, SettingsError> {
         Settings::read(&settings_path())
     }
@@ -40,7 +39,7 @@
     /// Reads the settings file at `path`.
     ///
     /// # Errors
-    /// As [`Settings::load`].
+    /// The same as those of [`Settings::load`].
     pub fn read(path: &Path) -> Result<Settings, SettingsError> {
         let text = read_text(path).map_err(|source| SettingsError::Read {
             path: path.to_owned(),
@@ -77,7 +76,7 @@
     if text.len() as u64 > MAX_FILE_BYTES {
         return Err(io::Error::new(
             io::ErrorKind::FileTooLarge,
-            "larger than 1 MiB",
+            "file is larger than 1 MiB",
         ));
     }
     Ok(text)
--- a/tier/settings/src/ports.rs
+++ b/tier/settings/src/ports.rs
@@ -1,4 +1,4 @@
-//! Which port of the machines' common range carries what. All machines of a deployment share one
+//! Assignment of the ports in the shared port range. All machines of a deployment use the same
 //! range.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -7,17 +7,18 @@
 
 use crate::Settings;
 
-/// Offset of the controllers' own port: chain, subscriptions of agents, registrations of stores.
+/// Offset of the controllers' internal port: chain replication, agent subscriptions and store
+/// registrations.
 const CONTROLLER_OFFSET: u16 = 0;
-/// Offset of the stores' port: calls of proxies and of other stores.
+/// Offset of the stores' port: calls from proxies and from other stores.
 const STORE_OFFSET: u16 = 1;
-/// Offset of the agents' port on the machine's address: health checks (UDP) and subscriptions of
-/// peers (TCP).
+/// Offset of the agents' port on the machine's address: health checks (UDP) and peer subscriptions
+/// (TCP).
 const AGENT_OFFSET: u16 = 2;
 /// Offset of the agents' port on the loopback address, for the proxy of the same machine.
 const AGENT_LOOPBACK_OFFSET: u16 = 3;
 
-/// The ports for the traffic between the processes of the tier, both ends included.
+/// The range of ports for traffic between processes of the tier, inclusive at both ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u16, u16)")]
 pub struct PortRange {
@@ -33,7 +34,7 @@
         usize::from(self.last).saturating_sub(usize::from(self.first)) + 1
     }
 
-    /// The port `offset` places after the first, if the range holds it.
+    /// The port at `offset` from the first port, or `None` if it is past the end of the range.
     pub fn port(&self, offset: u16) -> Option<u16> {
         self.first
             .checked_add(offset)
@@ -46,8 +47,8 @@
         self.address(ip, CONTROLLER_OFFSET)
     }
 
-    /// The addresses at which the controllers on the seeds' machines listen for other processes of
-    /// the tier, in the order of the seeds. Seeds with an IPv6 address are left out.
+    /// The addresses at which the controllers on the seed machines listen for other processes of the
+    /// tier, in the order of `seeds`. Seeds with an IPv6 address are skipped.
     pub fn controllers(self, seeds: &[SocketAddr]) -> Vec<SocketAddr> {
         let mut controllers = Vec::with_capacity(seeds.len());
         for seed in seeds {
@@ -70,8 +71,8 @@
 
     /// The address at which the agent on the machine `ip` listens for the proxy of that machine.
     ///
-    /// A machine whose own address is a loopback one stands beside others on one host, in trials;
-    /// each of them then needs an address of its own here.
+    /// In tests, several machines run on one host with different loopback addresses. Such a machine
+    /// uses its own address instead of `127.0.0.1`, so that the agents' listeners do not conflict.
     pub fn agent_loopback(self, ip: Ipv4Addr) -> SocketAddr {
         let loopback = if ip.is_loopback() {
             ip
@@ -98,8 +99,8 @@
         self.port_range.controller(self.ip)
     }
 
-    /// The address to which this machine's controller binds its listener: at `bind_ip` where that is
-    /// set.
+    /// The address to which this machine's controller binds its listener: on `bind_ip` if it is set,
+    /// otherwise on `ip`.
     pub fn controller_bind_address(&self) -> SocketAddr {
         self.port_range.controller(self.bind_ip.unwrap_or(self.ip))
     }
@@ -119,7 +120,7 @@
         self.port_range.agent_loopback(self.ip)
     }
 
-    /// The addresses of the controllers on the seeds' machines ([`PortRange::controllers`]).
+    /// The addresses of the controllers on the seed machines ([`PortRange::controllers`]).
     pub fn seed_controllers(&self) -> Vec<SocketAddr> {
         self.port_range.controllers(&self.seed_nodes)
     }
--- a/tier/settings/src/process.rs
+++ b/tier/settings/src/process.rs
@@ -1,6 +1,6 @@
-//! What every process of the tier does alike: it runs on one thread, ends on SIGTERM, and reads its
-//! settings again on SIGHUP. The agent, the store, the proxy and the controller call this from
-//! their `run` functions.
+//! Code shared by all processes of the tier: the single-threaded runtime, termination on SIGTERM,
+//! and reloading the settings on SIGHUP. The agent, the store, the proxy and the controller call
+//! these functions from their `run` functions.
 
 use std::future::Future;
 use std::io;
@@ -10,10 +10,10 @@
 
 use crate::Settings;
 
-/// Runs `process` to its end on a runtime of the calling thread, with a `LocalSet` for its tasks.
+/// Runs `process` to completion on a current-thread runtime, with a `LocalSet` for its tasks.
 ///
 /// # Errors
-/// If the operating system refuses what the runtime needs.
+/// Returns an error if the runtime cannot be created.
 pub fn run_on_current_thread<T>(process: impl Future<Output = T>) -> io::Result<T> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -21,16 +21,16 @@
     Ok(LocalSet::new().block_on(&runtime, process))
 }
 
-/// A request of the platform.
+/// A request from the platform, sent as a signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessSignal {
-    /// SIGTERM: end within the grace time ([`crate::Bounds::grace`]).
+    /// SIGTERM: exit within the grace period ([`crate::Bounds::grace`]).
     Terminate,
-    /// SIGHUP: read the settings again.
+    /// SIGHUP: reload the settings.
     ReloadSettings,
 }
 
-/// The signals by which the platform speaks to a process.
+/// Receives the signals that the platform sends to a process.
 #[derive(Debug)]
 pub struct ProcessSignals {
     terminate: Signal,
@@ -38,17 +38,17 @@
 }
 
 impl ProcessSignals {
-    /// Catches the signals from now on.
+    /// Installs the signal handlers.
     ///
     /// # Errors
-    /// If the operating system refuses a handler.
+    /// Returns an error if a signal handler cannot be installed.
     pub fn new() -> io::Result<Self> {
         let terminate = signal(SignalKind::terminate())?;
         let reload = signal(SignalKind::hangup())?;
         Ok(ProcessSignals { terminate, reload })
     }
 
-    /// Waits for the next signal; SIGTERM comes first where both are pending. Cancel-safe.
+    /// Waits for the next signal; SIGTERM takes precedence if both are pending. Cancel-safe.
     pub async fn next(&mut self) -> ProcessSignal {
         tokio::select! {
             biased;
@@ -59,8 +59,8 @@
 }
 
 impl Settings {
-    /// Reads the settings file again ([`Settings::load`]). Where it cannot be used, a warning is
-    /// logged and `None` is returned: the process goes on with the settings that it has.
+    /// Reads the settings file again ([`Settings::load`]). If it cannot be read or is invalid, logs a
+    /// warning and returns `None`: the process keeps its current settings.
     pub fn reload() -> Option<Settings> {
         match Settings::load() {
             Ok(settings) => Some(settings),
--- a/tier/settings/src/zones.rs
+++ b/tier/settings/src/zones.rs
@@ -10,7 +10,7 @@
 pub struct Zones(BTreeMap<String, String>);
 
 impl Zones {
-    /// Region of `zone`, if the zone is known.
+    /// Region of `zone`, or `None` if the zone is unknown.
     pub fn region_of(&self, zone: &str) -> Option<&str> {
         self.0.get(zone).map(String::as_str)
     }
@@ -20,7 +20,7 @@
         self.0.keys().map(String::as_str)
     }
 
-    /// Names of the zones of `region`, sorted.
+    /// Names of the zones in `region`, sorted.
     pub fn in_region<'a>(&'a self, region: &'a str) -> impl Iterator<Item = &'a str> {
         self.0
             .iter()
@@ -33,7 +33,7 @@
         self.0.len()
     }
 
-    /// Whether the file lists no zone.
+    /// Whether the settings list no zones.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
--- a/tier/settings/tests/common/mod.rs
+++ b/tier/settings/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! A valid settings file, and ways to change one key of it.
-#![allow(dead_code)] // Each test file uses a part of it.
+//! A valid settings file, and a helper that replaces one of its lines.
+#![allow(dead_code)] // Each test file uses only some of the helpers.
 
-/// A valid settings file of a proxy.
+/// A valid settings file for a proxy.
 pub const VALID: &str = r#"
 node_id = "proxy-7"
 role = "proxy"
@@ -44,7 +44,7 @@
 catch_up_s = 4.4
 "#;
 
-/// The valid file with the line of `key` replaced by `line` (empty: left out).
+/// Returns the valid file with the line of `key` replaced by `line`; an empty `line` leaves the key out.
 pub fn with_line(key: &str, line: &str) -> String {
     let prefix = format!("{key} = ");
     assert!(
--- a/tier/settings/tests/faults.rs
+++ b/tier/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Each kind of invalid settings file gives an error that names the key.
+//! Every kind of invalid settings file produces an error that names the key.
 
 mod common;
 
@@ -9,7 +9,7 @@
 
 use common::{with_line, VALID};
 
-/// The keys named by the error of `text`.
+/// The keys in the faults of the invalid settings `text`.
 fn faulty_keys(text: &str) -> Vec<String> {
     match text.parse::<Settings>() {
         Ok(_) => panic!("accepted: {text}"),
@@ -21,7 +21,7 @@
     }
 }
 
-/// The error of the file without the line of `key`.
+/// The error for the valid file with the line of `key` removed.
 fn error_without(key: &str) -> String {
     with_line(key, "")
         .parse::<Settings>()
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn all_values_out_of_range_are_named_at_once() {
+fn all_values_out_of_range_are_named_in_one_error() {
     let text = VALID
         .replace("heartbeat_ms = 900", "heartbeat_ms = 0")
         .replace("max_fds = 4100", "max_fds = 0");
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn text_that_is_no_toml_is_rejected() {
+fn text_that_is_not_toml_is_rejected() {
     for text in [
         "node_id = ",
         "[limits",
@@ -165,22 +165,21 @@
 #[test]
 fn a_missing_file_is_named() {
     let path = Path::new("/nowhere/settings.toml");
-    let error = Settings::read(path).expect_err("there is no such file");
+    let error = Settings::read(path).expect_err("the file does not exist");
     assert!(matches!(error, SettingsError::Read { .. }));
     assert!(error.to_string().contains("/nowhere/settings.toml"));
 }
 
 #[test]
-fn a_file_is_read_from_disk_and_an_endless_one_is_rejected() {
-    let mut file = tempfile::NamedTempFile::new().expect("a file can be made");
-    file.write_all(VALID.as_bytes())
-        .expect("the file can be written");
+fn a_file_is_read_from_disk_and_an_oversized_one_is_rejected() {
+    let mut file = tempfile::NamedTempFile::new().expect("creates a temporary file");
+    file.write_all(VALID.as_bytes()).expect("writes the file");
     assert_eq!(
         Settings::read(file.path()).expect("valid"),
         VALID.parse().expect("valid")
     );
     file.write_all(&vec![b'#'; MAX_FILE_BYTES as usize])
-        .expect("the file can be written");
+        .expect("writes the file");
     assert!(matches!(
         Settings::read(file.path()),
         Err(SettingsError::Read { .. })
@@ -188,7 +187,7 @@
 }
 
 #[test]
-fn seeds_that_are_no_address_of_a_machine_are_named() {
+fn seed_addresses_that_are_not_a_machine_address_are_named() {
     for seed in [
         "0.0.0.0:9001",
         "127.0.0.1:0",
@@ -201,7 +200,7 @@
 }
 
 #[test]
-fn an_address_to_bind_that_is_none_of_a_machine_is_named() {
+fn a_bind_address_that_is_not_a_machine_address_is_named() {
     let text = with_line("ip", "ip = \"127.0.0.7\"\nbind_ip = \"0.0.0.0\"");
     assert_eq!(faulty_keys(&text), ["bind_ip"]);
 }
--- a/tier/settings/tests/ports.rs
+++ b/tier/settings/tests/ports.rs
@@ -1,4 +1,4 @@
-//! The addresses that follow from the range of ports, which are the same on all machines.
+//! The addresses derived from the port range.
 
 mod common;
 
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn controllers_are_found_by_the_seeds_with_an_ipv4_address() {
+fn controller_addresses_are_derived_from_ipv4_seeds() {
     let seeds = ["10.0.0.2:9001", "[fd00::1]:9001", "10.0.0.1:9001"];
     let seeds = seeds.map(|seed| seed.parse::<SocketAddr>().unwrap());
     let controllers = ["10.0.0.2:9100", "10.0.0.1:9100"];
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn settings_give_the_addresses_of_their_machine() {
+fn addresses_of_a_machine_are_derived_from_its_settings() {
     let settings: Settings = VALID.parse().unwrap();
     let range = settings.port_range;
     assert_eq!(settings.controller_address(), range.controller(settings.ip));
--- a/tier/settings/tests/reading.rs
+++ b/tier/settings/tests/reading.rs
@@ -1,4 +1,4 @@
-//! What a valid settings file says.
+//! Parsing of valid settings files.
 
 mod common;
 
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn listeners_are_optional_one_by_one() {
+fn each_listener_is_optional() {
     let listeners = read(VALID).listeners_map;
     assert_eq!(listeners.http.expect("http is given").port(), 9002);
     assert_eq!(listeners.admin, None);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_empty_data_path_stands_for_none() {
+fn an_empty_data_path_is_read_as_none() {
     let data_path =
         |line: &str| read(&VALID.replace("[zones]", &format!("{line}\n[zones]"))).data_path;
     assert_eq!(data_path("data_path = \"\""), None);
@@ -69,14 +69,14 @@
 }
 
 #[test]
-fn bounds_are_whole_numbers_fractions_or_booleans() {
+fn bounds_are_integers_floats_or_booleans() {
     let bounds = read(VALID).bounds;
     assert_eq!(bounds.drain(), Duration::from_millis(1500));
     assert_eq!(bounds.catch_up(), Duration::from_millis(4400));
-    let truth = read(&with_line("drain_ms", "drain_ms = true")).bounds;
-    assert_eq!(truth.drain(), Duration::from_millis(1));
-    let falsehood = read(&with_line("drain_ms", "drain_ms = false")).bounds;
-    assert_eq!(falsehood.drain(), Duration::ZERO);
+    let from_true = read(&with_line("drain_ms", "drain_ms = true")).bounds;
+    assert_eq!(from_true.drain(), Duration::from_millis(1));
+    let from_false = read(&with_line("drain_ms", "drain_ms = false")).bounds;
+    assert_eq!(from_false.drain(), Duration::ZERO);
 }
 
 #[test]
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn unknown_keys_are_skipped_everywhere() {
+fn unknown_keys_are_ignored_in_every_table() {
     let text = VALID
         .replace("[limits]", "[limits]\ntapes = \"\"")
         .replace("[bounds]", "[bounds]\nnew_ms = 3\nnew_list = [1, 2]")
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn an_unknown_machine_class_is_no_fault() {
+fn an_unknown_machine_class_is_accepted() {
     let settings = read(&with_line("machine_class", "machine_class = \"rack\""));
     assert_eq!(settings.machine_class, MachineClass::Unknown);
 }
 
 #[test]
-fn limits_are_given_in_bytes() {
+fn limits_are_converted_to_bytes() {
     let limits = read(VALID).limits;
     assert_eq!(limits.memory_bytes(), 260_000_000);
     assert_eq!(limits.disk_bytes(), 0);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn ports_of_the_range_are_counted_from_its_first() {
+fn port_offsets_are_relative_to_the_first_port() {
     let range = read(VALID).port_range;
     assert_eq!(range.port(0), Some(9100));
     assert_eq!(range.port(15), Some(9115));
--- a/tier/validation/src/fault.rs
+++ b/tier/validation/src/fault.rs
@@ -1,21 +1,21 @@
-//! One fault of a document, and the list of all faults found in it.
+//! A validation fault, and the list of all faults found in a document.
 
 use std::fmt;
 
 /// The key under which a fault of the whole document is listed.
 const WHOLE_DOCUMENT: &str = "document";
 
-/// What is wrong with the value of one key. Ordered by key, then by message.
+/// A fault in the value of one key. Ordered by key, then by message.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
     /// Path of the key from the root of the document, for example `routes[3].timeout_ms`.
     pub key: String,
-    /// What is wrong, in a few words.
+    /// Short description of the fault.
     pub message: String,
 }
 
 impl Fault {
-    /// A fault of the value under `key`.
+    /// Creates a fault of the value under `key`.
     pub fn new(key: impl Into<String>, message: impl Into<String>) -> Self {
         Fault {
             key: key.into(),
@@ -23,7 +23,7 @@
         }
     }
 
-    /// A fault found by `serde` while it read the value under `path`.
+    /// Creates a fault from a `serde` error at `path`; a fault at the root has the key `document`.
     pub fn at_path(path: &serde_path_to_error::Path, message: impl fmt::Display) -> Self {
         let path = path.to_string();
         let key = if path == "." {
@@ -49,7 +49,7 @@
 pub struct Faults(Vec<Fault>);
 
 impl Faults {
-    /// An empty list.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Faults::default()
     }
@@ -59,30 +59,30 @@
         self.0.push(Fault::new(key, message));
     }
 
-    /// Adds every fault of `others`.
+    /// Adds every fault in `others`.
     pub fn append(&mut self, others: Faults) {
         self.0.extend(others.0);
     }
 
-    /// The faults in the order in which they were found.
+    /// Iterates over the faults in the order in which they were found.
     pub fn iter(&self) -> std::slice::Iter<'_, Fault> {
         self.0.iter()
     }
 
-    /// Number of faults.
+    /// Returns the number of faults.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether nothing is wrong.
+    /// Whether the list has no faults.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// `Ok` if nothing is wrong.
+    /// Returns `Ok` if the list is empty.
     ///
     /// # Errors
-    /// The faults, if there are any.
+    /// Returns the list itself if it has any faults.
     pub fn into_result(self) -> Result<(), Faults> {
         if self.is_empty() {
             Ok(())
--- a/tier/validation/src/flatten.rs
+++ b/tier/validation/src/flatten.rs
@@ -4,7 +4,7 @@
 
 use crate::{Fault, Faults};
 
-/// The name `validator` gives to faults of a struct as a whole.
+/// The field name under which `validator` reports struct-level errors.
 const WHOLE_STRUCT: &str = "__all__";
 
 /// Lists every error of `errors` under the path of its key, sorted by that path and then by the
--- a/tier/validation/src/lib.rs
+++ b/tier/validation/src/lib.rs
@@ -1,5 +1,5 @@
-//! Faults of checked input, each named with its key. Settings and configuration report their faults
-//! by this package, and the command line prints them.
+//! Validation faults of input documents, each with the key of the invalid value. The settings and
+//! configuration packages report their faults with these types, and the command line prints them.
 
 mod fault;
 mod flatten;
--- a/tier/validation/tests/keys.rs
+++ b/tier/validation/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Faults carry the path of their key.
+//! Paths of keys in faults, and the text form of a list of faults.
 
 use plankhill_validation::{faults_of, Fault, Faults};
 use validator::Validate;
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nested_keys_are_joined_by_dots_and_indexes_stand_in_brackets() {
+fn nested_keys_are_joined_by_dots_and_indexes_are_in_brackets() {
     let outer = Outer {
         name: String::new(),
         inner: Inner { number: 0 },
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn faults_are_written_one_after_the_other() {
+fn faults_are_joined_with_semicolons() {
     let mut faults = Faults::from(Fault::new("a", "is wrong"));
     faults.add("b[2].c", "must not be 0");
     assert_eq!(faults.to_string(), "a: is wrong; b[2].c: must not be 0");
