--- a/forwarder/process-tests/src/walk.rs
+++ b/forwarder/process-tests/src/walk.rs
@@ -175,16 +175,18 @@
         Fault::Stopped => world.stop(at),
         Fault::Silent(links) => world.fault(at, |i| each(i, links, |link: &Relay| link.stall())),
         Fault::OneWay(links, side) => world.fault(at, |i| {
-            each(i, links, |link| link.set(side, Delivery::Silent))
+            each(i, links, |link| link.set_delivery(side, Delivery::Stalled))
+        }),
+        Fault::Refused(links) => world.fault(at, |i| {
+            each(i, links, |link: &Relay| link.reset_and_refuse())
         }),
-        Fault::Refused(links) => {
-            world.fault(at, |i| each(i, links, |link: &Relay| link.drop_all()))
-        }
         Fault::Late(links) => world.fault(at, |i| {
             each(i, links, |link| link.delay(Duration::from_millis(30)))
         }),
         Fault::Cut(links, side, after) => {
-            world.fault(at, |i| each(i, links, |link| link.cut_next(side, after)));
+            world.fault(at, |i| {
+                each(i, links, |link| link.truncate_next(side, after))
+            });
         }
         Fault::FullDisk => {
             world.hinder(at);
--- a/forwarder/process-tests/tests/alone.rs
+++ b/forwarder/process-tests/tests/alone.rs
@@ -54,10 +54,10 @@
 }
 
 #[rstest]
-#[case::reset_and_refused(|link: &Relay| link.drop_all())]
+#[case::reset_and_refused(|link: &Relay| link.reset_and_refuse())]
 #[case::silent(|link: &Relay| link.stall())]
-#[case::deaf(|link: &Relay| link.set(Direction::Back, Delivery::Silent))]
-#[case::unheard(|link: &Relay| link.set(Direction::Forward, Delivery::Silent))]
+#[case::deaf(|link: &Relay| link.set_delivery(Direction::Back, Delivery::Stalled))]
+#[case::unheard(|link: &Relay| link.set_delivery(Direction::Forward, Delivery::Stalled))]
 #[case::late(|link: &Relay| link.delay(Duration::from_millis(40)))]
 fn links_to_targets_and_discovery_fail_and_heal(#[case] fault: fn(&Relay)) {
     let mut world = World::started(3);
@@ -82,7 +82,7 @@
         for side in [Direction::Forward, Direction::Back] {
             (0..3).for_each(|at| {
                 world.fault(at, |instance| {
-                    instance.links().for_each(|l| l.cut_next(side, after))
+                    instance.links().for_each(|l| l.truncate_next(side, after))
                 })
             });
             load.until_taken(20);
--- a/forwarder/process-tests/tests/copies/cut.rs
+++ b/forwarder/process-tests/tests/copies/cut.rs
@@ -63,7 +63,7 @@
         owner
             .peers
             .iter()
-            .for_each(|link| link.set(side, Delivery::Silent))
+            .for_each(|link| link.set_delivery(side, Delivery::Stalled))
     });
     load.until_taken(60);
     world.heal(0);
@@ -90,9 +90,9 @@
     let mut world = World::copied(3);
     let load = world.load(17, 6);
     for after in [0, 3, 9, 40, 200] {
-        world.among(0, |link| link.cut_next(Direction::Forward, after));
+        world.among(0, |link| link.truncate_next(Direction::Forward, after));
         load.until_taken(30);
-        world.among(0, |link| link.cut_next(Direction::Back, after));
+        world.among(0, |link| link.truncate_next(Direction::Back, after));
         load.until_taken(30);
         world.heal(0);
     }
--- a/forwarder/process-tests/tests/copies/lost.rs
+++ b/forwarder/process-tests/tests/copies/lost.rs
@@ -41,13 +41,13 @@
 fn an_event_whose_202_was_lost_with_its_machine_may_be_handed_in_elsewhere(#[case] effect: Effect) {
     let mut world = World::copied(3);
     world.set_targets(Manner::Hangs);
-    world.instances[0].clients.silent_after(Direction::Back, 0);
+    world.instances[0].clients.stall_after(Direction::Back, 0);
     let first = Handed::new("first", effect);
     let heard = std::thread::scope(|scope| {
         let waits = scope.spawn(|| world.hand_in(0, &first));
         // Sent: it was committed before.
         world.until_sent("first", 1);
-        world.instances[0].clients.drop_all();
+        world.instances[0].clients.reset_and_refuse();
         waits.join().expect("ends")
     });
     assert_eq!(heard, Answer::Unheard);
--- a/forwarder/process-tests/tests/copies/out.rs
+++ b/forwarder/process-tests/tests/copies/out.rs
@@ -27,7 +27,7 @@
         owner
             .targets
             .iter()
-            .for_each(|link| link.set(Direction::Forward, Delivery::Silent))
+            .for_each(|link| link.set_delivery(Direction::Forward, Delivery::Stalled))
     });
     world.lose(0);
     world.set_targets(AT_ONCE);
@@ -45,7 +45,7 @@
 #[rstest]
 fn woken_after_its_heir_was_chosen_with_a_call_half_written_the_owner_repeats_nothing_binding() {
     let mut world = World::copied(3);
-    let cut = |link: &Relay| link.silent_after(Direction::Forward, 40);
+    let cut = |link: &Relay| link.stall_after(Direction::Forward, 40);
     world.fault(0, |owner| owner.targets.iter().for_each(cut));
     world.take(0, &Handed::new("half", Effect::Binding).key(5));
     world.take(0, &Handed::new("next", Effect::Binding).key(5));
@@ -53,7 +53,7 @@
         world.instances[0]
             .targets
             .iter()
-            .any(|link: &Relay| link.is_silent())
+            .any(|link: &Relay| link.is_stalled())
     });
     let before = world.all_adoptions();
     world.stop(0);
--- a/forwarder/process-tests/tests/upgrades.rs
+++ b/forwarder/process-tests/tests/upgrades.rs
@@ -14,7 +14,7 @@
         load.until_taken(40);
         world.fault(instance, |it| {
             it.links()
-                .for_each(|link| link.cut_next(Direction::Back, 20))
+                .for_each(|link| link.truncate_next(Direction::Back, 20))
         });
         let elder = world.instances[instance].process.start_another();
         load.until_taken(20);
--- a/test-relay/src/lib.rs
+++ b/test-relay/src/lib.rs
@@ -1,10 +1,10 @@
-//! Network links that can fail, for tests of several processes on one machine.
+//! Network fault injection for tests of several processes on one machine.
 //!
-//! A process connects to a relay in place of another process, and the relay carries the bytes both
-//! ways, late, in pieces, or not at all. [`Relay`] has one link for all that connect to it;
-//! [`SharedRelay`] stands at a given address and has one link for each sender, so that two processes
-//! can be partitioned while both reach the others. [`LoopbackNetwork`] has addresses that one test
-//! process holds.
+//! A process connects to a relay instead of another process. The relay forwards the bytes in both
+//! directions, and can delay, truncate or stall them. [`Relay`] has one link for all its connections;
+//! [`SharedRelay`] listens at a given address and has a link for each sender, so that two processes
+//! can be partitioned while both still reach the others. [`LoopbackNetwork`] reserves loopback
+//! addresses for a test process.
 
 mod link;
 mod listener;
--- a/test-relay/src/link.rs
+++ b/test-relay/src/link.rs
@@ -1,4 +1,4 @@
-//! One link: what happens to the bytes of its connections.
+//! A link: forwards the bytes of its connections, and injects faults.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -8,49 +8,51 @@
 
 use rustix::net::sockopt::set_socket_linger;
 
-/// Bytes carried at once.
-const PIECE_BYTES: usize = 64 * 1024;
-/// A connection to the other end that takes longer has failed.
+/// Maximum number of bytes read and forwarded in one step.
+const CHUNK_BYTES: usize = 64 * 1024;
+/// Timeout of connecting to the destination.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The two directions of a link.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From who opens connections.
+    /// From the client that opened the connection to the destination.
     Forward = 0,
-    /// To who opens connections.
+    /// From the destination to the client that opened the connection.
     Back = 1,
 }
 
-/// What a direction does with bytes.
+/// How one direction of a link delivers bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// They arrive.
-    Passes,
-    /// Each piece arrives so much later.
-    Late(Duration),
-    /// Connections stay open, nothing arrives, and what was held arrives once the link is healed: as
-    /// on a network that lost packets for a while. New connections come up and are as silent.
-    Silent,
+    /// Bytes are forwarded at once.
+    Immediate,
+    /// Each chunk is forwarded after this delay.
+    Delayed(Duration),
+    /// Connections stay open but nothing is forwarded; pending bytes are forwarded once the link is
+    /// healed, as on a network that lost packets for some time. New connections are accepted and stall
+    /// as well.
+    Stalled,
 }
 
 struct State {
     deliveries: [Delivery; 2],
-    /// New connections are reset.
-    refuses: bool,
-    /// So many bytes of the next piece pass, then that happens.
-    cuts: [Option<(usize, AfterCut)>; 2],
-    has_ended: bool,
+    /// Whether new connections are reset.
+    refuses_connections: bool,
+    /// For each direction: the number of bytes of the next chunk to forward, and the fault that
+    /// follows them.
+    truncations: [Option<(usize, TruncationFault)>; 2],
+    is_closed: bool,
     open: Vec<[Weak<TcpStream>; 2]>,
 }
 
 #[derive(Clone, Copy)]
-enum AfterCut {
+enum TruncationFault {
     Reset,
-    Silent,
+    Stalled,
 }
 
-/// A link that can fail.
+/// A network link with fault injection.
 pub struct Link {
     to: SocketAddr,
     state: Mutex<State>,
@@ -58,13 +60,13 @@
 }
 
 impl Link {
-    /// A link to this address, over which everything passes.
+    /// Creates a link to the address `to`, without faults.
     pub(crate) fn new(to: SocketAddr) -> Self {
         let state = State {
-            deliveries: [Delivery::Passes; 2],
-            refuses: false,
-            cuts: [None; 2],
-            has_ended: false,
+            deliveries: [Delivery::Immediate; 2],
+            refuses_connections: false,
+            truncations: [None; 2],
+            is_closed: false,
             open: Vec::new(),
         };
         Self {
@@ -85,28 +87,28 @@
         self.changed.notify_all();
     }
 
-    /// What one direction does from now on.
-    pub fn set(&self, direction: Direction, delivery: Delivery) {
+    /// Sets how one direction delivers bytes from now on.
+    pub fn set_delivery(&self, direction: Direction, delivery: Delivery) {
         self.change(|state| state.deliveries[direction as usize] = delivery);
     }
 
-    /// Both directions fall silent, with connections open.
+    /// Stalls both directions; connections stay open.
     pub fn stall(&self) {
-        self.change(|state| state.deliveries = [Delivery::Silent; 2]);
+        self.change(|state| state.deliveries = [Delivery::Stalled; 2]);
     }
 
-    /// Everything arrives so much later.
+    /// Delays each chunk in both directions.
     pub fn delay(&self, by: Duration) {
-        self.change(|state| state.deliveries = [Delivery::Late(by); 2]);
+        self.change(|state| state.deliveries = [Delivery::Delayed(by); 2]);
     }
 
-    /// Connections are reset, and so is each new one.
-    pub fn drop_all(&self) {
-        self.change(|state| state.refuses = true);
+    /// Resets the open connections and every new one.
+    pub fn reset_and_refuse(&self) {
+        self.change(|state| state.refuses_connections = true);
         self.reset();
     }
 
-    /// Connections that are open are reset; new ones pass.
+    /// Resets the open connections; new ones are not affected.
     pub fn reset(&self) {
         self.change(|state| {
             let open = state.open.drain(..).flatten();
@@ -116,105 +118,110 @@
         });
     }
 
-    /// The next piece in that direction ends after so many bytes, with its connection.
-    pub fn cut_next(&self, direction: Direction, after: usize) {
-        let cut = Some((after, AfterCut::Reset));
-        self.change(|state| state.cuts[direction as usize] = cut);
+    /// Truncates the next chunk in `direction` after `after` bytes and resets its connection.
+    pub fn truncate_next(&self, direction: Direction, after: usize) {
+        let truncation = Some((after, TruncationFault::Reset));
+        self.change(|state| state.truncations[direction as usize] = truncation);
     }
 
-    /// The direction falls silent after so many bytes of the next piece; the rest arrives once it is
-    /// healed.
-    pub fn silent_after(&self, direction: Direction, after: usize) {
-        let cut = Some((after, AfterCut::Silent));
-        self.change(|state| state.cuts[direction as usize] = cut);
+    /// Stalls `direction` after `after` bytes of the next chunk; the remaining bytes are forwarded once
+    /// the link is healed.
+    pub fn stall_after(&self, direction: Direction, after: usize) {
+        let truncation = Some((after, TruncationFault::Stalled));
+        self.change(|state| state.truncations[direction as usize] = truncation);
     }
 
-    /// Whether a direction is silent.
-    pub fn is_silent(&self) -> bool {
-        self.state().deliveries.contains(&Delivery::Silent)
+    /// Whether at least one direction is stalled.
+    pub fn is_stalled(&self) -> bool {
+        self.state().deliveries.contains(&Delivery::Stalled)
     }
 
-    /// Everything passes again.
+    /// Removes all faults.
     pub fn heal(&self) {
         self.change(|state| {
-            state.deliveries = [Delivery::Passes; 2];
-            state.refuses = false;
-            state.cuts = [None; 2];
+            state.deliveries = [Delivery::Immediate; 2];
+            state.refuses_connections = false;
+            state.truncations = [None; 2];
         });
     }
 
-    /// Nothing passes any more, and connections end.
-    pub(crate) fn end(&self) {
+    /// Closes the link: resets its connections and refuses new ones.
+    pub(crate) fn close(&self) {
         self.change(|state| {
-            state.has_ended = true;
-            state.refuses = true;
+            state.is_closed = true;
+            state.refuses_connections = true;
         });
         self.reset();
     }
 
-    /// Returns once the direction passes, or `false` at the end.
-    fn passes(&self, direction: Direction) -> bool {
-        let is_silent = |state: &mut State| {
-            state.deliveries[direction as usize] == Delivery::Silent && !state.has_ended
+    /// Waits while `direction` is stalled, then for the delay if there is one. Returns `false` if the
+    /// link is closed.
+    fn wait_until_passing(&self, direction: Direction) -> bool {
+        let is_stalled = |state: &mut State| {
+            state.deliveries[direction as usize] == Delivery::Stalled && !state.is_closed
         };
         let state = self
             .changed
-            .wait_while(self.state(), is_silent)
+            .wait_while(self.state(), is_stalled)
             .unwrap_or_else(|poisoned| poisoned.into_inner());
         let delivery = state.deliveries[direction as usize];
-        let has_ended = state.has_ended;
+        let is_closed = state.is_closed;
         drop(state);
-        if let Delivery::Late(by) = delivery {
+        if let Delivery::Delayed(by) = delivery {
             thread::sleep(by);
         }
-        !has_ended
+        !is_closed
     }
 
-    /// Carries one connection to its end.
-    pub(crate) fn carry(self: Arc<Self>, near: TcpStream) {
-        if self.state().refuses {
-            return reset(&near);
+    /// Forwards one connection until it closes.
+    pub(crate) fn forward(self: Arc<Self>, client: TcpStream) {
+        if self.state().refuses_connections {
+            return reset(&client);
         }
-        // A connection comes up once packets pass both ways.
-        if !self.passes(Direction::Forward) || !self.passes(Direction::Back) {
+        // A TCP handshake completes only if packets pass in both directions.
+        if !self.wait_until_passing(Direction::Forward) || !self.wait_until_passing(Direction::Back)
+        {
             return;
         }
-        let Ok(far) = TcpStream::connect_timeout(&self.to, CONNECT_TIMEOUT) else {
-            return reset(&near);
+        let Ok(destination) = TcpStream::connect_timeout(&self.to, CONNECT_TIMEOUT) else {
+            return reset(&client);
         };
-        let _ = far.set_nodelay(true);
-        let near = Arc::new(near);
-        let far = Arc::new(far);
-        if !self.remember(&near, &far) {
-            reset(&near);
-            return reset(&far);
+        let _ = destination.set_nodelay(true);
+        let client = Arc::new(client);
+        let destination = Arc::new(destination);
+        if !self.track(&client, &destination) {
+            reset(&client);
+            return reset(&destination);
         }
         let link = Arc::clone(&self);
-        let answers = [Arc::clone(&far), Arc::clone(&near)];
-        let back = thread::spawn(move || link.pump(Direction::Back, &answers[0], &answers[1]));
-        self.pump(Direction::Forward, &near, &far);
+        let back_streams = [Arc::clone(&destination), Arc::clone(&client)];
+        let back =
+            thread::spawn(move || link.pump(Direction::Back, &back_streams[0], &back_streams[1]));
+        self.pump(Direction::Forward, &client, &destination);
         let _ = back.join();
     }
 
-    /// Whether the connection may go on.
-    fn remember(&self, near: &Arc<TcpStream>, far: &Arc<TcpStream>) -> bool {
+    /// Adds a connection to the open ones; returns `false` if connections are refused.
+    fn track(&self, client: &Arc<TcpStream>, destination: &Arc<TcpStream>) -> bool {
         let mut state = self.state();
-        if state.refuses {
+        if state.refuses_connections {
             return false;
         }
-        state.open.retain(|[near, _]| near.strong_count() > 0);
-        state.open.push([Arc::downgrade(near), Arc::downgrade(far)]);
+        state.open.retain(|[client, _]| client.strong_count() > 0);
+        state
+            .open
+            .push([Arc::downgrade(client), Arc::downgrade(destination)]);
         true
     }
 
     fn pump(&self, direction: Direction, mut from: &TcpStream, mut to: &TcpStream) {
-        let mut bytes = vec![0; PIECE_BYTES];
+        let mut bytes = vec![0; CHUNK_BYTES];
         loop {
             let read = from.read(&mut bytes);
-            if !self.passes(direction) {
+            if !self.wait_until_passing(direction) {
                 return;
             }
-            let piece = match read {
+            let chunk = match read {
                 Ok(0) => {
                     let _ = to.shutdown(Shutdown::Write);
                     return;
@@ -222,20 +229,20 @@
                 Ok(read) => &bytes[..read],
                 Err(_) => return reset(to),
             };
-            let cut = self.state().cuts[direction as usize].take();
-            let first_bytes = cut.map_or(0, |(after, _)| after.min(piece.len()));
-            let (first, rest) = piece.split_at(first_bytes);
+            let truncation = self.state().truncations[direction as usize].take();
+            let truncated_len = truncation.map_or(0, |(after, _)| after.min(chunk.len()));
+            let (first, rest) = chunk.split_at(truncated_len);
             if to.write_all(first).is_err() {
                 return reset(from);
             }
-            match cut {
-                Some((_, AfterCut::Reset)) => {
+            match truncation {
+                Some((_, TruncationFault::Reset)) => {
                     reset(from);
                     return reset(to);
                 }
-                Some((_, AfterCut::Silent)) => {
-                    self.set(direction, Delivery::Silent);
-                    if !self.passes(direction) {
+                Some((_, TruncationFault::Stalled)) => {
+                    self.set_delivery(direction, Delivery::Stalled);
+                    if !self.wait_until_passing(direction) {
                         return;
                     }
                 }
--- a/test-relay/src/listener.rs
+++ b/test-relay/src/listener.rs
@@ -1,4 +1,4 @@
-//! A listener with a thread for each connection.
+//! A TCP listener with a thread for each connection.
 
 use std::io;
 use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,51 +7,51 @@
 use std::thread;
 use std::time::Duration;
 
-/// Wakes the accepting thread at the end.
+/// Timeout of the connection that wakes the accept thread on drop.
 const WAKE_TIMEOUT: Duration = Duration::from_secs(1);
 
 type OpenConnections = Mutex<Vec<Weak<TcpStream>>>;
 
-/// A listener whose connections end with it.
+/// A listener whose connections are shut down when it is dropped.
 pub struct ThreadedListener {
-    /// Where it listens.
+    /// The local address of the listener.
     pub address: SocketAddr,
-    has_ended: Arc<AtomicBool>,
+    is_closed: Arc<AtomicBool>,
     open: Arc<OpenConnections>,
 }
 
 impl ThreadedListener {
-    /// Listens at a port of the system's choice. `serve` is called with each connection, on a thread
-    /// of its own.
+    /// Listens on a loopback port assigned by the system. `serve` is called with each connection, on a
+    /// separate thread.
     ///
     /// # Panics
-    /// Where the system has no port left.
+    /// Panics if no port is available.
     pub fn open(serve: impl Fn(TcpStream) + Send + Sync + 'static) -> Self {
-        Self::bind((Ipv4Addr::LOCALHOST, 0).into(), serve).expect("a port")
+        Self::bind((Ipv4Addr::LOCALHOST, 0).into(), serve).expect("a loopback port is available")
     }
 
-    /// Listens at this address.
+    /// Listens at `address`. `serve` is called with each connection, on a separate thread.
     ///
     /// # Errors
-    /// The operating system's, as where the address is in use.
+    /// Returns an error if the address cannot be bound, for example if it is in use.
     pub fn bind(
         address: SocketAddr,
         serve: impl Fn(TcpStream) + Send + Sync + 'static,
     ) -> io::Result<Self> {
         let listener = TcpListener::bind(address)?;
         let address = listener.local_addr()?;
-        let has_ended = Arc::new(AtomicBool::new(false));
+        let is_closed = Arc::new(AtomicBool::new(false));
         let open: Arc<OpenConnections> = Arc::default();
-        let accepting = Accepting {
+        let accept_loop = AcceptLoop {
             listener,
-            has_ended: Arc::clone(&has_ended),
+            is_closed: Arc::clone(&is_closed),
             open: Arc::clone(&open),
             serve: Arc::new(serve),
         };
-        thread::spawn(move || accepting.run());
+        thread::spawn(move || accept_loop.run());
         Ok(Self {
             address,
-            has_ended,
+            is_closed,
             open,
         })
     }
@@ -59,8 +59,8 @@
 
 impl Drop for ThreadedListener {
     fn drop(&mut self) {
-        self.has_ended.store(true, Ordering::SeqCst);
-        // The thread looks whether it has to end with each connection.
+        self.is_closed.store(true, Ordering::SeqCst);
+        // Wakes the accept thread, which checks `is_closed` after each accepted connection.
         let _ = TcpStream::connect_timeout(&self.address, WAKE_TIMEOUT);
         for stream in lock(&self.open).iter().filter_map(Weak::upgrade) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -68,18 +68,18 @@
     }
 }
 
-/// What the accepting thread owns.
-struct Accepting<S> {
+/// State of the accept thread.
+struct AcceptLoop<S> {
     listener: TcpListener,
-    has_ended: Arc<AtomicBool>,
+    is_closed: Arc<AtomicBool>,
     open: Arc<OpenConnections>,
     serve: Arc<S>,
 }
 
-impl<S: Fn(TcpStream) + Send + Sync + 'static> Accepting<S> {
+impl<S: Fn(TcpStream) + Send + Sync + 'static> AcceptLoop<S> {
     fn run(self) {
         for stream in self.listener.incoming() {
-            if self.has_ended.load(Ordering::SeqCst) {
+            if self.is_closed.load(Ordering::SeqCst) {
                 return;
             }
             let Ok(stream) = stream else { continue };
@@ -87,17 +87,17 @@
             let Ok(other) = stream.try_clone() else {
                 continue;
             };
-            let held = Arc::new(other);
-            self.remember(&held);
+            let tracked = Arc::new(other);
+            self.track(&tracked);
             let serve = Arc::clone(&self.serve);
             thread::spawn(move || {
                 serve(stream);
-                drop(held);
+                drop(tracked);
             });
         }
     }
 
-    fn remember(&self, stream: &Arc<TcpStream>) {
+    fn track(&self, stream: &Arc<TcpStream>) {
         let mut open = lock(&self.open);
         open.retain(|stream| stream.strong_count() > 0);
         open.push(Arc::downgrade(stream));
--- a/test-relay/src/relay.rs
+++ b/test-relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! A relay with one link.
+//! A relay with a single link.
 
 use std::net::SocketAddr;
 use std::ops::Deref;
@@ -7,22 +7,23 @@
 use crate::link::Link;
 use crate::listener::ThreadedListener;
 
-/// Carries all connections that are opened to it over one link.
+/// Forwards all its connections over one link.
 pub struct Relay {
     link: Arc<Link>,
     listener: ThreadedListener,
 }
 
 impl Relay {
-    /// A relay to this address.
+    /// Starts a relay to the address `to`.
     pub fn to(to: SocketAddr) -> Self {
         let link = Arc::new(Link::new(to));
-        let carrying = Arc::clone(&link);
-        let listener = ThreadedListener::open(move |stream| Arc::clone(&carrying).carry(stream));
+        let forwarding_link = Arc::clone(&link);
+        let listener =
+            ThreadedListener::open(move |stream| Arc::clone(&forwarding_link).forward(stream));
         Self { link, listener }
     }
 
-    /// Where to connect in place of the other end.
+    /// The address of the relay, used in place of the destination's address.
     pub fn address(&self) -> SocketAddr {
         self.listener.address
     }
@@ -38,6 +39,6 @@
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.link.end();
+        self.link.close();
     }
 }
--- a/test-relay/src/shared_relay.rs
+++ b/test-relay/src/shared_relay.rs
@@ -1,4 +1,4 @@
-//! A relay that several senders share, with a link for each.
+//! A relay with a separate link for each sender.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -10,20 +10,22 @@
 use crate::link::Link;
 use crate::listener::ThreadedListener;
 
-/// Bytes that a sender needs to name itself, at most.
+/// Maximum size of the first message of a connection, which identifies the sender.
 const MAX_GREETING_BYTES: usize = 512;
-/// A sender that has not named itself after this long is carried over the link without a name.
+/// A connection whose sender is not identified within this time is forwarded over the link with the
+/// empty name.
 const GREETING_TIMEOUT: Duration = Duration::from_secs(1);
-/// Between two looks at what has come.
+/// Interval between checks for received bytes.
 const PEEK_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Tells a sender by the first bytes of a connection; `None` while they do not suffice.
+/// Identifies the sender from the first bytes of a connection; returns `None` if more bytes are
+/// needed.
 pub type SenderOf = fn(&[u8]) -> Option<String>;
 
 type Links = Mutex<BTreeMap<String, Arc<Link>>>;
 
-/// Stands at the address of one process, and carries connections to where that process really
-/// listens.
+/// Listens at the advertised address of a process, and forwards connections to the address at which
+/// the process listens.
 pub struct SharedRelay {
     to: SocketAddr,
     links: Arc<Links>,
@@ -31,16 +33,16 @@
 }
 
 impl SharedRelay {
-    /// A relay from one address to another.
+    /// Starts a relay from the address `at` to the address `to`.
     ///
     /// # Errors
-    /// The operating system's, as where the address is in use.
+    /// Returns an error if the address cannot be bound, for example if it is in use.
     pub fn bind(at: SocketAddr, to: SocketAddr, sender_of: SenderOf) -> io::Result<Self> {
         let links: Arc<Links> = Arc::default();
-        let known = Arc::clone(&links);
+        let shared_links = Arc::clone(&links);
         let listener = ThreadedListener::bind(at, move |stream| {
-            let sender = sender(&stream, sender_of);
-            link_of(&known, &sender, to).carry(stream);
+            let sender = identify_sender(&stream, sender_of);
+            link_of(&shared_links, &sender, to).forward(stream);
         })?;
         Ok(Self {
             to,
@@ -49,12 +51,12 @@
         })
     }
 
-    /// The link of one sender, which may not have connected yet.
+    /// Returns the link of a sender, and creates it if the sender has not connected yet.
     pub fn link(&self, sender: &str) -> Arc<Link> {
         link_of(&self.links, sender, self.to)
     }
 
-    /// The links of all senders that have connected.
+    /// Returns all links: of senders that have connected, and those created by [`SharedRelay::link`].
     pub fn links(&self) -> Vec<Arc<Link>> {
         lock(&self.links).values().cloned().collect()
     }
@@ -63,7 +65,7 @@
 impl Drop for SharedRelay {
     fn drop(&mut self) {
         for link in self.links() {
-            link.end();
+            link.close();
         }
     }
 }
@@ -82,8 +84,8 @@
         .unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-/// Looks at the first bytes without taking them.
-fn sender(stream: &TcpStream, sender_of: SenderOf) -> String {
+/// Peeks at the first bytes of a connection to identify its sender; the empty name if that fails.
+fn identify_sender(stream: &TcpStream, sender_of: SenderOf) -> String {
     let began = Instant::now();
     let mut bytes = [0; MAX_GREETING_BYTES];
     while began.elapsed() < GREETING_TIMEOUT {
