--- a/tier/command/src/arguments.rs
+++ b/tier/command/src/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line: what it asks for, and why it is not understood.
+//! Parsing of the command line.
 
 mod draining;
 
@@ -11,14 +11,13 @@
 use draining::{parse_drain, parse_rolling_restart};
 pub use draining::{DrainAction, DrainArguments, RollingRestartArguments};
 
-/// Programs of the demo unless the command line says otherwise: enough to be under way at both
-/// kills.
+/// Default number of programs of the demo: enough that some are running at both kills.
 const DEFAULT_DEMO_PROGRAMS: u32 = 40;
 
-/// Largest number of programs of the demo; with more it would take over a minute.
+/// Maximum number of programs of the demo; with more, the demo would take over a minute.
 const MAX_DEMO_PROGRAMS: u32 = 200;
 
-/// What the command line asks for.
+/// A parsed command line.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Command {
     /// Print the help text.
@@ -29,7 +28,7 @@
     Run {
         /// The role to run.
         role: Role,
-        /// Form of the log lines.
+        /// Format of the log lines.
         log_format: LogFormat,
     },
     /// Check a settings file.
@@ -37,33 +36,33 @@
         /// The file to check.
         file: PathBuf,
     },
-    /// Check a configuration of the operator.
+    /// Check an operator's configuration file.
     CheckConfiguration {
         /// The file to check.
         file: PathBuf,
     },
-    /// Show a small tier on loopback addresses.
+    /// Run a small tier on loopback addresses.
     Demo {
-        /// Number of programs sent through it.
+        /// Number of programs that clients run through it.
         programs: u32,
     },
-    /// Take forwarders out of service, or back.
+    /// Take forwarders out of service, or put them back into service.
     Drain(DrainArguments),
     /// Show which forwarders are out of service.
     Drains {
         /// Address of the controller, as `IP:PORT`.
         address: String,
-        /// Form of the answer on standard output.
-        form: AnswerForm,
+        /// Format of the answer on standard output.
+        format: OutputFormat,
     },
-    /// Take forwarders out of service and back, a few at a time.
+    /// Restart forwarders a few at a time, each out of service while it restarts.
     RollingRestart(RollingRestartArguments),
     /// Ask a controller for its status.
     Status {
         /// Address of the controller, as `IP:PORT`.
         address: String,
-        /// Form of the answer on standard output.
-        form: AnswerForm,
+        /// Format of the answer on standard output.
+        format: OutputFormat,
     },
 }
 
@@ -72,82 +71,82 @@
 pub enum Role {
     /// Stores the control state.
     Controller,
-    /// Links one machine's proxy to the control plane.
+    /// Connects one machine's proxy to the control plane.
     Agent,
-    /// Carries requests from clients to targets.
+    /// Forwards requests from clients to targets.
     Proxy,
-    /// Stores turns and budgets.
+    /// Stores conversation turns and budgets.
     Store,
 }
 
-/// Form in which a controller's answer is printed.
+/// Format in which a controller's answer is printed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum AnswerForm {
-    /// For people.
+pub enum OutputFormat {
+    /// Human-readable text.
     #[default]
     Text,
     /// JSON, as received.
     Json,
 }
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// One line of text each.
+    /// One line of text per event.
     #[default]
     Text,
-    /// One JSON object each.
+    /// One JSON object per event.
     Json,
 }
 
-/// Why a command line is not understood.
+/// The command line cannot be parsed.
 #[derive(Debug, Error)]
 pub enum UsageError {
-    /// An option is unknown, misses its value or has one too many.
+    /// An option is unknown, lacks its value or has an unexpected one.
     #[error("{0}")]
     Option(#[from] lexopt::Error),
-    /// No command is given.
-    #[error("no command is given")]
-    NoCommand,
+    /// The command is missing.
+    #[error("no command given")]
+    MissingCommand,
     /// The command is unknown.
-    #[error("there is no command {0:?}")]
+    #[error("unknown command {0:?}")]
     UnknownCommand(String),
-    /// The command needs another argument.
-    #[error("{command} needs {what}")]
-    Missing {
+    /// A required argument is missing.
+    #[error("{command} requires {what}")]
+    MissingArgument {
         /// The command.
         command: &'static str,
-        /// The argument that is missing.
+        /// Description of the missing argument.
         what: &'static str,
     },
-    /// `check` cannot check this.
-    #[error("check knows settings and configuration, not {0:?}")]
+    /// `check` does not support this kind of file.
+    #[error("check accepts settings or configuration, not {0:?}")]
     UnknownKind(String),
-    /// The number of programs is none, or out of bounds.
-    #[error("--programs is a number from 1 to {MAX_DEMO_PROGRAMS}, not {0:?}")]
-    ProgramCount(String),
-    /// The option's value is no number, or none from 1 on.
-    #[error("{option} is a number from 1 on, not {text:?}")]
-    NoCount {
+    /// The number of programs is not a number, or is out of range.
+    #[error("--programs must be a number from 1 to {MAX_DEMO_PROGRAMS}, not {0:?}")]
+    InvalidProgramCount(String),
+    /// The option's value is not a number of at least 1.
+    #[error("{option} must be a number of at least 1, not {text:?}")]
+    InvalidCount {
         /// The option.
         option: &'static str,
         /// Its value.
         text: String,
     },
-    /// The form of log lines is unknown.
-    #[error("--log-format is text or json, not {0:?}")]
+    /// The log format is unknown.
+    #[error("--log-format must be text or json, not {0:?}")]
     UnknownLogFormat(String),
 }
 
 impl Command {
-    /// Parses the arguments after the program's name.
+    /// Parses the arguments that follow the program's name.
     ///
     /// # Errors
-    /// [`UsageError`] if they do not form a command.
+    /// [`UsageError`] if the arguments are not a valid command line.
     pub fn parse(arguments: impl IntoIterator<Item = OsString>) -> Result<Command, UsageError> {
         let mut parser = Parser::from_args(arguments);
         let name = match parser.next()? {
-            None => return Err(UsageError::NoCommand),
+            None => return Err(UsageError::MissingCommand),
             Some(Arg::Short('h') | Arg::Long("help")) => return Ok(Command::Help),
             Some(Arg::Short('V') | Arg::Long("version")) => return Ok(Command::Version),
             Some(Arg::Value(name)) => name.string()?,
@@ -161,14 +160,14 @@
             "check" => parse_check(parser),
             "drain" => parse_drain(parser, DrainAction::Drain),
             "undrain" => parse_drain(parser, DrainAction::Undrain),
-            "drains" => parse_query(parser, "drains", |address, form| Command::Drains {
+            "drains" => parse_query(parser, "drains", |address, format| Command::Drains {
                 address,
-                form,
+                format,
             }),
             "roll" => parse_rolling_restart(parser),
-            "status" => parse_query(parser, "status", |address, form| Command::Status {
+            "status" => parse_query(parser, "status", |address, format| Command::Status {
                 address,
-                form,
+                format,
             }),
             "demo" => parse_demo(parser),
             _ => Err(UsageError::UnknownCommand(name)),
@@ -219,25 +218,25 @@
     }
 }
 
-/// `ADDRESS [--json]`, the arguments of a command `name` that queries a controller; `command` makes
-/// the command.
+/// Parses `ADDRESS [--json]`, the arguments of the command `name`, which queries a controller;
+/// `command` creates the command from them.
 fn parse_query(
     mut parser: Parser,
     name: &'static str,
-    command: impl FnOnce(String, AnswerForm) -> Command,
+    command: impl FnOnce(String, OutputFormat) -> Command,
 ) -> Result<Command, UsageError> {
     let mut address = None;
-    let mut form = AnswerForm::default();
+    let mut format = OutputFormat::default();
     while let Some(argument) = parser.next()? {
         match argument {
             Arg::Short('h') | Arg::Long("help") => return Ok(Command::Help),
-            Arg::Long("json") => form = AnswerForm::Json,
+            Arg::Long("json") => format = OutputFormat::Json,
             Arg::Value(value) if address.is_none() => address = Some(value.string()?),
             other => return Err(other.unexpected().into()),
         }
     }
     let address = address.ok_or(missing(name, "the address of a controller"))?;
-    Ok(command(address, form))
+    Ok(command(address, format))
 }
 
 fn parse_demo(mut parser: Parser) -> Result<Command, UsageError> {
@@ -255,10 +254,10 @@
 fn parse_programs(text: String) -> Result<u32, UsageError> {
     match text.parse() {
         Ok(programs) if (1..=MAX_DEMO_PROGRAMS).contains(&programs) => Ok(programs),
-        _ => Err(UsageError::ProgramCount(text)),
+        _ => Err(UsageError::InvalidProgramCount(text)),
     }
 }
 
 fn missing(command: &'static str, what: &'static str) -> UsageError {
-    UsageError::Missing { command, what }
+    UsageError::MissingArgument { command, what }
 }
--- a/tier/command/src/arguments/draining.rs
+++ b/tier/command/src/arguments/draining.rs
@@ -6,25 +6,24 @@
 
 use super::{missing, Command, UsageError};
 
-/// Forwarders out of service at once, unless the command line says otherwise.
+/// Default maximum number of forwarders that are out of service at once.
 const DEFAULT_MAX_UNAVAILABLE: usize = 1;
-/// Seconds that a forwarder may take to drain, unless the command line says otherwise: clients may
-/// be idle for most of a minute.
+/// Default drain timeout of a forwarder, in seconds: clients may be idle for most of a minute.
 const DEFAULT_DRAIN_TIMEOUT_S: u64 = 120;
-/// Seconds that a forwarder may take to restart, unless the command line says otherwise.
+/// Default restart timeout of a forwarder, in seconds.
 const DEFAULT_RESTART_TIMEOUT_S: u64 = 600;
 
-/// What an order tells forwarders to do.
+/// The action that an order requests of forwarders.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
-    /// Drain: go out of service.
+    /// Drain: leave service.
     Drain,
-    /// Go back into service.
+    /// Return to service.
     Undrain,
 }
 
 impl DrainAction {
-    /// The command's name.
+    /// Name of the command.
     fn command(self) -> &'static str {
         match self {
             DrainAction::Drain => "drain",
@@ -33,31 +32,31 @@
     }
 }
 
-/// An order for forwarders.
+/// Arguments of `drain` and `undrain`: an order to forwarders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DrainArguments {
     /// Address of a controller, as `IP:PORT`.
     pub address: String,
-    /// What the forwarders have to do.
+    /// The requested action.
     pub action: DrainAction,
-    /// The machines by name.
+    /// Names of the machines.
     pub nodes: Vec<String>,
-    /// The zone of which all machines are meant besides.
+    /// A zone whose machines are all included, in addition to `nodes`.
     pub zone: Option<String>,
 }
 
-/// A rolling restart of forwarders.
+/// Arguments of `roll`: a rolling restart of forwarders.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RollingRestartArguments {
     /// Address of a controller, as `IP:PORT`.
     pub address: String,
-    /// The machines; all if none is named.
+    /// Names of the machines; empty means all.
     pub nodes: Vec<String>,
-    /// Largest number out of service at once.
+    /// Maximum number of machines that are out of service at once.
     pub max_unavailable: usize,
-    /// Longest time until one has drained.
+    /// Maximum time for a machine to drain.
     pub drain_timeout: Duration,
-    /// Longest time until one has restarted.
+    /// Maximum time for a machine to restart.
     pub restart_timeout: Duration,
 }
 
@@ -74,10 +73,7 @@
     }
     let (address, nodes) = split_values(action.command(), values)?;
     if nodes.is_empty() && zone.is_none() {
-        return Err(missing(
-            action.command(),
-            "the name of a machine, or --zone",
-        ));
+        return Err(missing(action.command(), "the name of a machine or --zone"));
     }
     Ok(Command::Drain(DrainArguments {
         address,
@@ -116,7 +112,7 @@
     }))
 }
 
-/// The controller's address and the machines behind it.
+/// Splits positional arguments into the controller's address and the names of machines.
 fn split_values(
     command: &'static str,
     values: Vec<String>,
@@ -128,16 +124,16 @@
     Ok((address, values.collect()))
 }
 
-/// The value of `option`, a number of seconds from 1 on.
+/// Parses the value of `option`, a number of seconds of at least 1.
 fn parse_seconds(option: &'static str, parser: &mut Parser) -> Result<Duration, UsageError> {
     Ok(Duration::from_secs(parse_count(option, parser)? as u64))
 }
 
-/// The value of `option`, a number from 1 on.
+/// Parses the value of `option`, a number of at least 1.
 fn parse_count(option: &'static str, parser: &mut Parser) -> Result<usize, UsageError> {
     let text = parser.value()?.string()?;
     match text.parse() {
         Ok(number) if number >= 1 => Ok(number),
-        _ => Err(UsageError::NoCount { option, text }),
+        _ => Err(UsageError::InvalidCount { option, text }),
     }
 }
--- a/tier/command/src/check.rs
+++ b/tier/command/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks files and prints each fault with its key.
+//! Checks settings and configuration files, and prints each fault with its key.
 
 use std::path::Path;
 
@@ -11,16 +11,18 @@
 pub(crate) fn settings(file: &Path) -> ExitStatus {
     match Settings::read(file) {
         Ok(_) => print(&format!("{}: settings are valid", file.display())),
-        Err(SettingsError::Invalid(faults)) => report(file, &faults),
-        Err(error @ SettingsError::Read { .. }) => unreadable(&error.to_string()),
+        Err(SettingsError::Invalid(faults)) => print_faults(file, &faults),
+        Err(error @ SettingsError::Read { .. }) => report_unreadable(&error.to_string()),
     }
 }
 
-/// Checks a configuration of the operator.
+/// Checks an operator's configuration file.
 pub(crate) fn configuration(file: &Path) -> ExitStatus {
     let bytes = match std::fs::read(file) {
         Ok(bytes) => bytes,
-        Err(error) => return unreadable(&format!("cannot read {}: {error}", file.display())),
+        Err(error) => {
+            return report_unreadable(&format!("cannot read {}: {error}", file.display()))
+        }
     };
     match parse_first(&bytes) {
         Ok(configuration) => print(&format!(
@@ -30,25 +32,25 @@
             configuration.routes.len(),
             configuration.services.len()
         )),
-        Err(error) => report(file, &error.faults()),
+        Err(error) => print_faults(file, &error.faults()),
     }
 }
 
-/// Reads a configuration as if it were the first one of a tier.
+/// Parses and checks a configuration as the first one of a tier, without a predecessor.
 fn parse_first(bytes: &[u8]) -> Result<Configuration, ConfigurationError> {
     let configuration = Configuration::parse(bytes)?;
     configuration.check(0)?;
     Ok(configuration)
 }
 
-fn report(file: &Path, faults: &Faults) -> ExitStatus {
+fn print_faults(file: &Path, faults: &Faults) -> ExitStatus {
     for fault in faults.iter() {
         print(&format!("{}: {fault}", file.display()));
     }
     ExitStatus::Failure
 }
 
-fn unreadable(message: &str) -> ExitStatus {
+fn report_unreadable(message: &str) -> ExitStatus {
     print_error(message);
     ExitStatus::Usage
 }
--- a/tier/command/src/controller_call.rs
+++ b/tier/command/src/controller_call.rs
@@ -1,4 +1,4 @@
-//! Calls of a controller's interface for operators (HTTP/1.1, JSON), one connection each.
+//! Calls of a controller's operator interface (HTTP/1.1 with JSON), each on a separate connection.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,39 +14,39 @@
 use thiserror::Error;
 use tokio::net::TcpStream;
 
-/// Time for a complete answer; a controller in service answers within milliseconds.
+/// Timeout of a complete answer; a controller in service answers within milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest answer read, in bytes: a status of ten thousand machines stays below it.
+/// Maximum size of an answer, in bytes: a status with ten thousand machines is smaller.
 const MAX_ANSWER_BYTES: usize = 16 << 20;
 
-/// Why no answer came.
+/// A call failed or was rejected.
 #[derive(Debug, Error)]
 pub(crate) enum CallError {
     /// The runtime or the connection could not be set up.
     #[error("cannot connect: {0}")]
     Connect(#[from] io::Error),
-    /// The connection broke during the call.
+    /// The connection failed during the call.
     #[error("the call failed: {0}")]
     Call(#[from] hyper::Error),
     /// The request could not be built.
     #[error("the call failed: {0}")]
     Request(#[from] hyper::http::Error),
     /// The controller rejected the call.
-    #[error("the controller answered {status}{}", reason_text(.reason))]
-    Refused {
-        /// Its status.
+    #[error("the controller answered {status}{}", format_reason(.reason))]
+    Rejected {
+        /// The HTTP status of the answer.
         status: StatusCode,
-        /// Its reason, if it gave one.
+        /// The reason in the answer, if there is one.
         reason: Option<String>,
     },
     /// The body is truncated or too large.
-    #[error("the answer could not be read: {0}")]
+    #[error("cannot read the answer: {0}")]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The answer is no JSON.
-    #[error("the answer is no JSON: {0}")]
+    /// The answer is not JSON.
+    #[error("the answer is not JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// No complete answer came in time.
+    /// No complete answer arrived within [`CALL_TIMEOUT`].
     #[error("no answer within {} s", CALL_TIMEOUT.as_secs())]
     TimedOut(#[from] tokio::time::error::Elapsed),
 }
@@ -59,7 +59,7 @@
 }
 
 impl ControllerCall {
-    /// A call that reads `path`.
+    /// Creates a `GET` call of `path`.
     pub(crate) fn get(path: &'static str) -> Self {
         ControllerCall {
             method: Method::GET,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A call that posts `order` to `path`.
+    /// Creates a `POST` call of `path` with the body `order`.
     pub(crate) fn post(path: &'static str, order: &Value) -> Self {
         ControllerCall {
             method: Method::POST,
@@ -77,10 +77,10 @@
         }
     }
 
-    /// Calls the controller at `address`; returns the body of its answer.
+    /// Sends the call to the controller at `address`; returns the body of the answer.
     ///
     /// # Errors
-    /// [`CallError`] if no answer with status 200 comes within [`CALL_TIMEOUT`].
+    /// [`CallError`] if no complete answer with status 200 arrives within [`CALL_TIMEOUT`].
     pub(crate) fn send(self, address: SocketAddr) -> Result<Bytes, CallError> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -102,22 +102,22 @@
         let body = Limited::new(answer.into_body(), MAX_ANSWER_BYTES);
         let body = body.collect().await.map_err(CallError::Body)?.to_bytes();
         if status != StatusCode::OK {
-            return Err(CallError::Refused {
+            return Err(CallError::Rejected {
                 status,
-                reason: reason_of(&body),
+                reason: parse_reason(&body),
             });
         }
         Ok(body)
     }
 }
 
-/// The reason in the body of a rejection.
-fn reason_of(body: &[u8]) -> Option<String> {
+/// Extracts the reason from the body of a rejection.
+fn parse_reason(body: &[u8]) -> Option<String> {
     let body: Value = serde_json::from_slice(body).ok()?;
     body.get("error")?.as_str().map(str::to_owned)
 }
 
-fn reason_text(reason: &Option<String>) -> String {
+fn format_reason(reason: &Option<String>) -> String {
     match reason {
         Some(reason) => format!(": {reason}"),
         None => String::new(),
--- a/tier/command/src/demo.rs
+++ b/tier/command/src/demo.rs
@@ -1,10 +1,10 @@
-//! Shows a small tier on loopback addresses.
+//! Runs the demo: a small tier on loopback addresses.
 
 use plankhill_demo::{DemoError, DemoOptions, Report};
 
 use crate::{print, print_error, ExitStatus};
 
-/// Runs the demo with this program; a failure if clients saw anything wrong.
+/// Runs the demo with this executable and prints its report; fails if a client saw an error.
 pub(crate) fn show(programs: u32) -> ExitStatus {
     match run(programs) {
         Ok(report) => {
--- a/tier/command/src/drains.rs
+++ b/tier/command/src/drains.rs
@@ -1,4 +1,4 @@
-//! Sends orders that drain forwarders or take them back into service, and shows the drains.
+//! Sends drain and undrain orders to a controller, and prints the drains.
 
 use std::net::SocketAddr;
 
@@ -7,34 +7,35 @@
 use crate::arguments::{DrainAction, DrainArguments};
 use crate::controller_call::{CallError, ControllerCall};
 use crate::status::parse_address;
-use crate::{print, print_error, render, AnswerForm, ExitStatus};
+use crate::{print, print_error, render, ExitStatus, OutputFormat};
 
-/// Path of the drains on a controller's `admin` address.
+/// HTTP path of the drains on a controller's `admin` listener.
 const DRAINS_PATH: &str = "/-/drains";
 
-/// Sends an order on top of the last one that the controller knows, and prints the drains after it.
+/// Sends an order that builds on the controller's latest one, and prints the resulting drains.
 pub(crate) fn send_order(order: &DrainArguments) -> ExitStatus {
     let Some(address) = parse_address(&order.address) else {
         return ExitStatus::Usage;
     };
-    print_answer(address, order_drains(address, order), AnswerForm::Text)
+    print_answer(address, order_drains(address, order), OutputFormat::Text)
 }
 
-/// Prints the drains.
-pub(crate) fn show(address: &str, form: AnswerForm) -> ExitStatus {
+/// Fetches the drains and prints them.
+pub(crate) fn show(address: &str, format: OutputFormat) -> ExitStatus {
     let Some(address) = parse_address(address) else {
         return ExitStatus::Usage;
     };
-    print_answer(address, fetch_drains(address), form)
+    print_answer(address, fetch_drains(address), format)
 }
 
-/// The drains, as the controller shows them.
+/// Fetches the drains from a controller, as JSON.
 pub(crate) fn fetch_drains(address: SocketAddr) -> Result<Value, CallError> {
     let body = ControllerCall::get(DRAINS_PATH).send(address)?;
     Ok(serde_json::from_slice(&body)?)
 }
 
-/// Sends an order; returns the drains after it.
+/// Sends an order with the number of the controller's latest order, which the controller uses to
+/// detect concurrent orders; returns the resulting drains.
 pub(crate) fn order_drains(
     address: SocketAddr,
     order: &DrainArguments,
@@ -55,12 +56,12 @@
 fn print_answer(
     address: SocketAddr,
     answer: Result<Value, CallError>,
-    form: AnswerForm,
+    format: OutputFormat,
 ) -> ExitStatus {
     match answer {
-        Ok(drains) => print(&match form {
-            AnswerForm::Json => drains.to_string(),
-            AnswerForm::Text => render(&drains),
+        Ok(drains) => print(&match format {
+            OutputFormat::Json => drains.to_string(),
+            OutputFormat::Text => render(&drains),
         }),
         Err(error) => {
             print_error(&format!("{address}: {error}"));
--- a/tier/command/src/exit.rs
+++ b/tier/command/src/exit.rs
@@ -2,14 +2,14 @@
 
 use std::process::ExitCode;
 
-/// How the command ended.
+/// Result of the command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done, and nothing is wrong: code 0.
+    /// The command succeeded: code 0.
     Success,
-    /// The checked file is not valid, or the role or call failed: code 1.
+    /// The checked file is invalid, or the role, the demo or the call failed: code 1.
     Failure,
-    /// The command line is not understood, or a file it names cannot be read: code 2.
+    /// The command line is invalid, or a file that it names cannot be read: code 2.
     Usage,
 }
 
--- a/tier/command/src/lib.rs
+++ b/tier/command/src/lib.rs
@@ -1,5 +1,5 @@
-//! The command `plankhill-tier`: starts each role of the serving tier, checks files, and speaks
-//! with controllers for the operator.
+//! The command `plankhill-tier`: runs the roles of the serving tier, checks files, and calls
+//! controllers for the operator.
 
 mod arguments;
 mod check;
@@ -18,13 +18,13 @@
 use std::io::Write;
 
 pub use arguments::{
-    AnswerForm, Command, DrainAction, DrainArguments, LogFormat, Role, RollingRestartArguments,
+    Command, DrainAction, DrainArguments, LogFormat, OutputFormat, Role, RollingRestartArguments,
     UsageError,
 };
 pub use exit::ExitStatus;
 pub use render::render;
 
-/// Parses the arguments after the program's name and does what they ask for.
+/// Parses the arguments that follow the program's name and executes the command.
 pub fn run_command(arguments: impl IntoIterator<Item = OsString>) -> ExitStatus {
     match Command::parse(arguments) {
         Ok(command) => execute(command),
@@ -46,13 +46,13 @@
         Command::CheckConfiguration { file } => check::configuration(&file),
         Command::Demo { programs } => demo::show(programs),
         Command::Drain(order) => drains::send_order(&order),
-        Command::Drains { address, form } => drains::show(&address, form),
+        Command::Drains { address, format } => drains::show(&address, format),
         Command::RollingRestart(plan) => rolling_restart::run(&plan),
-        Command::Status { address, form } => status::show(&address, form),
+        Command::Status { address, format } => status::show(&address, format),
     }
 }
 
-/// Prints a line; a reader that is gone is no failure of the command.
+/// Prints to standard output; ignores write errors, for example if the reader closed the pipe.
 fn print(text: &str) -> ExitStatus {
     let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
     ExitStatus::Success
--- a/tier/command/src/logging.rs
+++ b/tier/command/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log lines on standard output, for the roles. Commands that end by themselves do not log.
+//! Logging of the roles to standard output. The other commands do not log.
 
 use tracing_subscriber::filter::{LevelFilter, Targets};
 use tracing_subscriber::layer::SubscriberExt;
@@ -7,35 +7,37 @@
 
 use crate::LogFormat;
 
-/// The environment variable that holds the level, also by package.
+/// The environment variable with the log level, also per package.
 const LEVEL_VARIABLE: &str = "PLANKHILL_LOG";
 
-/// Starts the log of this process; a level that is not understood is replaced by `info`.
+/// Initializes logging of this process; an invalid level is replaced by `info`.
 pub(crate) fn start(format: LogFormat) {
-    let wanted = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
-    let parsed = parse_levels(&wanted);
-    let is_understood = parsed.is_some();
+    let configured = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
+    let parsed = parse_levels(&configured);
+    let is_valid = parsed.is_some();
     let levels = parsed.unwrap_or_else(default_levels);
     tracing_subscriber::registry()
         .with(lines(format).with_filter(levels))
         .init();
-    if !is_understood {
+    if !is_valid {
         tracing::warn!(
             variable = LEVEL_VARIABLE,
-            value = wanted,
+            value = configured,
             "log level not understood; using info"
         );
     }
 }
 
-/// Parses a list such as `info,plankhill_proxy=debug`; `None` if a segment of it is not understood.
+/// Parses a list such as `info,plankhill_proxy=debug`; `None` if a
+/// segment is invalid.
 fn parse_levels(text: &str) -> Option<Targets> {
     let text = text.trim();
     if text.is_empty() {
         return Some(default_levels());
     }
     for segment in text.split(',') {
-        // `Targets` takes any bare word for the name of a package, which would silence all others.
+        // `Targets` parses any other bare word as the name of a package, which would disable the logs
+        // of all other packages.
         if !segment.contains('=') && segment.trim().parse::<LevelFilter>().is_err() {
             return None;
         }
--- a/tier/command/src/render.rs
+++ b/tier/command/src/render.rs
@@ -1,14 +1,14 @@
-//! JSON rendered for people: indented keys, and tables for lists of objects that are alike.
+//! Renders JSON as human-readable text: indented keys, and tables for lists of flat objects.
 
 use serde_json::{Map, Value};
 
-/// Spaces by which each level is indented.
+/// Number of spaces of indentation per level.
 const INDENT: usize = 2;
 
-/// Spaces between two columns of a table.
+/// Number of spaces between columns of a table.
 const COLUMN_GAP: usize = 2;
 
-/// Renders `value` for people, one line for each key.
+/// Renders `value` as human-readable text, with one line for each key or table row.
 pub fn render(value: &Value) -> String {
     let mut text = String::new();
     write_value(value, 0, &mut text);
@@ -19,19 +19,19 @@
     match value {
         Value::Object(fields) => write_object(fields, depth, text),
         Value::Array(elements) => write_list(elements, depth, text),
-        plain => push_line(depth, &plain_text(plain), text),
+        scalar => push_line(depth, &scalar_text(scalar), text),
     }
 }
 
 fn write_object(fields: &Map<String, Value>, depth: usize, text: &mut String) {
     let width = fields
         .iter()
-        .filter(|(_, value)| fits_line(value))
+        .filter(|(_, value)| fits_on_one_line(value))
         .map(|(key, _)| key.len())
         .max();
     let width = width.unwrap_or(0) + 1;
     for (key, value) in fields {
-        if fits_line(value) {
+        if fits_on_one_line(value) {
             let label = format!("{key}:");
             push_line(depth, &format!("{label:width$} {}", line_text(value)), text);
         } else {
@@ -42,11 +42,11 @@
 }
 
 fn write_list(elements: &[Value], depth: usize, text: &mut String) {
-    if let Some(rows) = rows_of(elements) {
+    if let Some(rows) = as_table_rows(elements) {
         return write_table(&rows, depth, text);
     }
     for element in elements {
-        if fits_line(element) {
+        if fits_on_one_line(element) {
             push_line(depth, &format!("- {}", line_text(element)), text);
         } else {
             push_line(depth, "-", text);
@@ -55,15 +55,16 @@
     }
 }
 
-/// The elements as rows, if there are any and all are objects whose values fit a line.
-fn rows_of(elements: &[Value]) -> Option<Vec<&Map<String, Value>>> {
+/// The elements as table rows, or `None` if there are none or not all are objects whose values fit on
+/// one line.
+fn as_table_rows(elements: &[Value]) -> Option<Vec<&Map<String, Value>>> {
     if elements.is_empty() {
         return None;
     }
     let mut rows = Vec::with_capacity(elements.len());
     for element in elements {
         let row = element.as_object()?;
-        if !row.values().all(fits_line) {
+        if !row.values().all(fits_on_one_line) {
             return None;
         }
         rows.push(row);
@@ -72,7 +73,7 @@
 }
 
 fn write_table(rows: &[&Map<String, Value>], depth: usize, text: &mut String) {
-    let columns = columns_of(rows);
+    let columns = column_names(rows);
     let mut lines: Vec<Vec<String>> = vec![columns.iter().map(ToString::to_string).collect()];
     for row in rows {
         let cells = columns.iter().map(|column| cell_text(row, column));
@@ -94,8 +95,8 @@
     }
 }
 
-/// The keys of all rows, in the order in which they first occur.
-fn columns_of<'a>(rows: &[&'a Map<String, Value>]) -> Vec<&'a str> {
+/// The keys of all rows, in the order of their first occurrence.
+fn column_names<'a>(rows: &[&'a Map<String, Value>]) -> Vec<&'a str> {
     let mut columns: Vec<&str> = Vec::new();
     for key in rows.iter().flat_map(|row| row.keys()) {
         if !columns.contains(&key.as_str()) {
@@ -112,8 +113,8 @@
     }
 }
 
-/// Whether `value` is plain, or a list of plain values.
-fn fits_line(value: &Value) -> bool {
+/// Whether `value` is a scalar, a list of scalars or an empty object.
+fn fits_on_one_line(value: &Value) -> bool {
     match value {
         Value::Object(fields) => fields.is_empty(),
         Value::Array(elements) => elements
@@ -128,20 +129,20 @@
         Value::Array(elements) if elements.is_empty() => "none".to_owned(),
         Value::Array(elements) => elements
             .iter()
-            .map(plain_text)
+            .map(scalar_text)
             .collect::<Vec<_>>()
             .join(", "),
         Value::Object(_) => "none".to_owned(),
-        plain => plain_text(plain),
+        scalar => scalar_text(scalar),
     }
 }
 
-fn plain_text(value: &Value) -> String {
+fn scalar_text(value: &Value) -> String {
     match value {
         Value::Null => "-".to_owned(),
         Value::Bool(true) => "yes".to_owned(),
         Value::Bool(false) => "no".to_owned(),
-        Value::String(word) => word.clone(),
+        Value::String(text) => text.clone(),
         other => other.to_string(),
     }
 }
--- a/tier/command/src/role.rs
+++ b/tier/command/src/role.rs
@@ -5,7 +5,7 @@
 
 use crate::{logging, ExitStatus, LogFormat, Role};
 
-/// Why a role ended.
+/// A role failed to start or to run.
 #[derive(Debug, Error)]
 enum RoleError {
     #[error(transparent)]
--- a/tier/command/src/rolling_restart.rs
+++ b/tier/command/src/rolling_restart.rs
@@ -1,5 +1,5 @@
-//! Carries out a rolling restart: drains forwarders, says when each may be started anew, and takes
-//! them back into service. The decisions are those of [`RollingRestart`].
+//! Performs a rolling restart: drains forwarders, prints when each may be restarted, and puts them
+//! back into service. [`RollingRestart`] makes the decisions.
 
 use std::net::SocketAddr;
 use std::thread::sleep;
@@ -17,12 +17,13 @@
 use crate::status::parse_address;
 use crate::{print, print_error, ExitStatus};
 
-/// Time between two queries of the controller.
+/// Interval between queries of the controller.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// Calls that may fail in a row: a change of the chain's view takes a second.
+/// Maximum number of consecutive failed calls: calls may fail for a second during a view change of
+/// the chain.
 const MAX_CALL_FAILURES: u32 = 20;
 
-/// Runs the rolling restart to its end; fails where it stops.
+/// Runs the rolling restart to completion; fails if it stops early.
 pub(crate) fn run(plan: &RollingRestartArguments) -> ExitStatus {
     let Some(address) = parse_address(&plan.address) else {
         return ExitStatus::Usage;
@@ -30,13 +31,13 @@
     match restart_all(address, plan) {
         Ok(restarted) => print(&format!("done: {restarted} forwarders")),
         Err(error) => {
-            print_error(&format!("{address}: the roll stopped: {error}"));
+            print_error(&format!("{address}: rolling restart stopped: {error}"));
             ExitStatus::Failure
         }
     }
 }
 
-/// Why a rolling restart did not come to its end.
+/// A rolling restart stopped before its completion.
 #[derive(Debug, thiserror::Error)]
 enum RestartError {
     #[error("{0}")]
@@ -45,7 +46,7 @@
     Stopped(#[from] StopReason),
 }
 
-/// Restarts all machines of the plan; returns their number.
+/// Restarts all machines of the plan; returns the number of restarted machines.
 fn restart_all(address: SocketAddr, plan: &RollingRestartArguments) -> Result<usize, RestartError> {
     let view = parse_view(&fetch_drains(address)?);
     let limits = RestartLimits {
@@ -76,7 +77,7 @@
     }
 }
 
-/// The machines of the plan; all that are registered if it names none.
+/// The machines to restart: those named by the plan, or all registered ones if it names none.
 fn nodes_of(plan: &RollingRestartArguments, view: &FleetView) -> Vec<NodeId> {
     if plan.nodes.is_empty() {
         return view.live.keys().cloned().collect();
@@ -85,7 +86,8 @@
     names.map(|name| NodeId::from(name.as_str())).collect()
 }
 
-/// Queries the controller until it answers, or has failed too often in a row.
+/// Queries the controller until a call succeeds; fails after more than [`MAX_CALL_FAILURES`]
+/// consecutive failures.
 fn poll_view(address: SocketAddr) -> Result<FleetView, CallError> {
     let mut failures = 0;
     loop {
@@ -113,7 +115,7 @@
     Ok(())
 }
 
-/// The view of the fleet in a controller's answer; fields that are missing count as empty.
+/// Parses the view of the fleet from a controller's answer; a missing field is read as its default.
 fn parse_view(drains: &Value) -> FleetView {
     let mut view = FleetView::default();
     for edge in rows(drains, "edges") {
--- a/tier/command/tests/arguments.rs
+++ b/tier/command/tests/arguments.rs
@@ -1,11 +1,11 @@
-//! The command line.
+//! Parsing of the command line.
 
 use std::ffi::OsString;
 
 use std::time::Duration;
 
 use plankhill_tier::{
-    AnswerForm, Command, DrainAction, DrainArguments, LogFormat, Role, RollingRestartArguments,
+    Command, DrainAction, DrainArguments, LogFormat, OutputFormat, Role, RollingRestartArguments,
     UsageError,
 };
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_log_format_is_chosen() {
+fn the_log_format_is_parsed() {
     for line in ["proxy --log-format json", "proxy --log-format=json"] {
         assert_eq!(
             parsed(line),
@@ -81,20 +81,20 @@
         parsed("status 127.0.0.1:9001"),
         Command::Status {
             address: address.clone(),
-            form: AnswerForm::Text
+            format: OutputFormat::Text
         }
     );
     assert_eq!(
         parsed("status --json 127.0.0.1:9001"),
         Command::Status {
             address,
-            form: AnswerForm::Json
+            format: OutputFormat::Json
         }
     );
 }
 
 #[test]
-fn orders_name_machines_or_a_zone() {
+fn drain_orders_name_machines_or_a_zone() {
     let order = |action, nodes: &[&str], zone: Option<&str>| {
         Command::Drain(DrainArguments {
             address: "127.0.0.1:9001".to_owned(),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn help_and_version_are_known_everywhere() {
+fn help_is_accepted_by_every_command_and_version_at_the_top_level() {
     for line in ["--help", "-h", "proxy --help", "check -h", "status --help"] {
         assert_eq!(parsed(line), Command::Help, "{line}");
     }
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn errors_name_the_argument_that_is_not_parsed() {
+fn errors_name_the_invalid_argument() {
     let cases = [
         ("", "no command"),
         ("serve", "serve"),
--- a/tier/command/tests/checking.rs
+++ b/tier/command/tests/checking.rs
@@ -1,4 +1,4 @@
-//! `check`, `--help`, `--version` and exit codes of the program itself.
+//! `check`, `--help`, `--version` and the exit codes of the program.
 
 mod common;
 
@@ -37,13 +37,12 @@
 }"#;
 
 fn check(kind: &str, text: &str) -> Run {
-    let mut file = NamedTempFile::new().expect("a file can be made");
-    file.write_all(text.as_bytes())
-        .expect("the file can be written");
+    let mut file = NamedTempFile::new().expect("creates a temporary file");
+    file.write_all(text.as_bytes()).expect("writes the file");
     run(command(&[
         "check",
         kind,
-        file.path().to_str().expect("a plain path"),
+        file.path().to_str().expect("a UTF-8 path"),
     ]))
 }
 
--- a/tier/command/tests/common/mod.rs
+++ b/tier/command/tests/common/mod.rs
@@ -1,10 +1,10 @@
-//! Runs the command.
+//! Runs the command `plankhill-tier`.
 
 #![allow(dead_code)]
 
 use std::process::{Command, Output};
 
-/// What one run of the command left.
+/// Exit code and output of a run of the command.
 pub struct Run {
     /// Exit code.
     pub code: i32,
@@ -14,7 +14,7 @@
     pub errors: String,
 }
 
-/// The command with `arguments`, without the caller's settings.
+/// The command with `arguments`, without the environment variables of the caller.
 pub fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_plankhill-tier"));
     command
@@ -24,15 +24,17 @@
     command
 }
 
-/// Runs `command` to its end.
+/// Runs `command` to completion.
 pub fn run(mut command: Command) -> Run {
     let Output {
         status,
         stdout,
         stderr,
-    } = command.output().expect("the command can be started");
+    } = command.output().expect("starts the command");
     Run {
-        code: status.code().expect("the command ends by itself"),
+        code: status
+            .code()
+            .expect("the command was not killed by a signal"),
         output: String::from_utf8_lossy(&stdout).into_owned(),
         errors: String::from_utf8_lossy(&stderr).into_owned(),
     }
--- a/tier/command/tests/decoders.rs
+++ b/tier/command/tests/decoders.rs
@@ -1,8 +1,9 @@
-//! Every message between processes of the tier, read from arbitrary bytes and from recorded ones with
-//! mistakes in them: an error that names the message and the field, in bounded memory, and nothing
-//! else. The recorded bytes are those that the packages' own tests hold.
+//! Decoding every message type of the tier's protocols from arbitrary bytes and from corrupted
+//! recorded messages: decoding returns a message, or an error that names the message and the field,
+//! in bounded memory and without a panic. The recorded messages are the fixtures of the packages'
+//! own tests.
 
-use arbtest::arbitrary::{Result as Drawn, Unstructured};
+use arbtest::arbitrary::{Result as ArbitraryResult, Unstructured};
 use plankhill_chain::Message;
 use plankhill_controller::liveness::LivenessReport;
 use plankhill_conversations::wire::{StoreRequest, StoreResponse};
@@ -12,22 +13,22 @@
 use plankhill_protocol::transport::{decode, Hello};
 use serde::de::DeserializeOwned;
 
-/// Time for each type of message, in ms.
+/// Time budget of each of the two property tests of a message type, in ms.
 const BUDGET_MS: u64 = 250;
-/// Mistakes in one recorded message at most.
-const MAX_MISTAKES: usize = 4;
-/// What all decoding together may add to the memory of this process, in KiB. Recorded messages have
-/// some hundred bytes, and a frame claims what it likes.
-const MAX_MEMORY_KIB: u64 = 96 * 1024;
-/// Bytes of the length in front of a frame.
+/// Maximum number of corruptions in one recorded message.
+const MAX_CORRUPTIONS: usize = 4;
+/// Upper bound on the increase of this process's peak memory by all decoding, in KiB. Recorded
+/// messages have some hundred bytes, but a corrupted frame may claim any length.
+const MAX_ADDED_MEMORY_KIB: u64 = 96 * 1024;
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Values that are recorded beside the messages of a file, and are parts of them.
-const PARTS_OF_MESSAGES: &str = "StoreSet.";
+/// Name prefix of recorded values that are parts of messages and not messages of their own.
+const MESSAGE_PART_PREFIX: &str = "StoreSet.";
 
 fn recorded(fixture: &str) -> Vec<Vec<u8>> {
     let lines = fixture.lines().filter_map(|line| line.split_once(' '));
-    let messages = lines.filter(|(name, _)| !name.starts_with(PARTS_OF_MESSAGES));
+    let messages = lines.filter(|(name, _)| !name.starts_with(MESSAGE_PART_PREFIX));
     messages.map(|(_, hex)| bytes_of(hex)).collect()
 }
 
@@ -38,13 +39,13 @@
         .collect()
 }
 
-/// One mistake at a place that is drawn.
-fn damage(bytes: &mut Vec<u8>, draw: &mut Unstructured<'_>) -> Drawn<()> {
-    let at = draw.int_in_range(0..=bytes.len())?;
-    match draw.int_in_range(0..=5)? {
+/// Corrupts `bytes` once, at a random position.
+fn corrupt(bytes: &mut Vec<u8>, source: &mut Unstructured<'_>) -> ArbitraryResult<()> {
+    let at = source.int_in_range(0..=bytes.len())?;
+    match source.int_in_range(0..=5)? {
         0 => bytes.truncate(at),
-        1 => bytes.insert(at, draw.arbitrary()?),
-        // A length, or a number, as large as they come.
+        1 => bytes.insert(at, source.arbitrary()?),
+        // The largest encoded length or number.
         2 => bytes
             .splice(at..at, [0xff; 9].into_iter().chain([0x01]))
             .for_each(drop),
@@ -54,14 +55,14 @@
         }
         _ => {
             if let Some(byte) = bytes.get_mut(at) {
-                *byte = draw.arbitrary()?;
+                *byte = source.arbitrary()?;
             }
         }
     }
     Ok(())
 }
 
-fn read<T: DeserializeOwned>(bytes: &[u8]) {
+fn decode_or_check_error<T: DeserializeOwned>(bytes: &[u8]) {
     if let Err(error) = decode::<T>(bytes) {
         let text = error.to_string();
         let named = format!("message {}, field ", error.message);
@@ -74,77 +75,77 @@
     }
 }
 
-/// The most memory that this process has had, in KiB.
+/// Peak memory of this process, in KiB.
 fn peak_memory_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").expect("Linux");
     let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let value = line.and_then(|line| line.trim().strip_suffix(" kB"));
     value
         .and_then(|value| value.parse().ok())
-        .expect("a figure")
+        .expect("VmHWM is a number")
 }
 
-fn assert_reads_safely<T: DeserializeOwned>(recorded: &[Vec<u8>]) {
+fn assert_decodes_safely<T: DeserializeOwned>(recorded: &[Vec<u8>]) {
     assert!(!recorded.is_empty());
     for bytes in recorded {
         if let Err(error) = decode::<T>(bytes) {
-            panic!("a recorded message is not read: {error}");
+            panic!("cannot decode a recorded message: {error}");
         }
     }
-    arbtest::arbtest(|draw| {
-        let mut bytes = draw.choose(recorded)?.clone();
-        for _ in 0..draw.int_in_range(1..=MAX_MISTAKES)? {
-            damage(&mut bytes, draw)?;
+    arbtest::arbtest(|source| {
+        let mut bytes = source.choose(recorded)?.clone();
+        for _ in 0..source.int_in_range(1..=MAX_CORRUPTIONS)? {
+            corrupt(&mut bytes, source)?;
         }
-        read::<T>(&bytes);
+        decode_or_check_error::<T>(&bytes);
         Ok(())
     })
     .budget_ms(BUDGET_MS);
-    arbtest::arbtest(|draw| {
-        read::<T>(&draw.arbitrary::<Vec<u8>>()?);
+    arbtest::arbtest(|source| {
+        decode_or_check_error::<T>(&source.arbitrary::<Vec<u8>>()?);
         Ok(())
     })
     .budget_ms(BUDGET_MS);
 }
 
-/// All in one test: the peak of the memory is that of the process.
+/// A single test for all messages, since the peak memory is measured for the entire process.
 #[test]
-fn every_message_is_read_safely_from_any_bytes() {
+fn every_message_is_decoded_safely_from_any_bytes() {
     let before = peak_memory_kib();
-    assert_reads_safely::<Message>(&recorded(include_str!(
+    assert_decodes_safely::<Message>(&recorded(include_str!(
         "../../chain/tests/wire_format/messages.txt"
     )));
-    assert_reads_safely::<Hello>(&recorded(include_str!(
+    assert_decodes_safely::<Hello>(&recorded(include_str!(
         "../../protocol/tests/wire_format/hello.txt"
     )));
-    assert_reads_safely::<FromSubscriber>(&recorded(include_str!(
+    assert_decodes_safely::<FromSubscriber>(&recorded(include_str!(
         "../../protocol/tests/wire_format/from_subscriber.txt"
     )));
-    assert_reads_safely::<ToSubscriber>(&recorded(include_str!(
+    assert_decodes_safely::<ToSubscriber>(&recorded(include_str!(
         "../../protocol/tests/wire_format/to_subscriber.txt"
     )));
-    assert_reads_safely::<Tables>(&recorded(include_str!(
+    assert_decodes_safely::<Tables>(&recorded(include_str!(
         "../../protocol/tests/wire_format/tables.txt"
     )));
-    assert_reads_safely::<StoreRequest>(&recorded(include_str!(
+    assert_decodes_safely::<StoreRequest>(&recorded(include_str!(
         "../../conversations/tests/wire_format/requests.txt"
     )));
-    assert_reads_safely::<StoreResponse>(&recorded(include_str!(
+    assert_decodes_safely::<StoreResponse>(&recorded(include_str!(
         "../../conversations/tests/wire_format/answers.txt"
     )));
-    assert_reads_safely::<Datagram>(&recorded(include_str!(
+    assert_decodes_safely::<Datagram>(&recorded(include_str!(
         "../../membership/tests/wire_format/datagram.txt"
     )));
     let report = recorded(include_str!(
         "../../controller/tests/wire_format/liveness.txt"
     ));
-    // The report was recorded with its frame.
+    // The recorded report includes its frame header.
     let report: Vec<Vec<u8>> = report
         .iter()
         .map(|frame| frame[LENGTH_BYTES..].to_vec())
         .collect();
-    assert_reads_safely::<LivenessReport>(&report);
+    assert_decodes_safely::<LivenessReport>(&report);
     let added = peak_memory_kib() - before;
     println!("{added} KiB added at most");
-    assert!(added < MAX_MEMORY_KIB, "{added} KiB");
+    assert!(added < MAX_ADDED_MEMORY_KIB, "{added} KiB");
 }
--- a/tier/command/tests/demo.rs
+++ b/tier/command/tests/demo.rs
@@ -1,5 +1,5 @@
-//! The demo, whole: processes of every role, a proxy drained, a controller and a proxy killed,
-//! nothing seen of it.
+//! Runs the complete demo: processes of every role, a proxy drained, a controller and a proxy
+//! killed, without an effect on clients.
 
 mod common;
 
@@ -7,42 +7,41 @@
 
 use common::{command, run};
 
-/// A folder in memory, where the system has one. All machines of the demo share one disk; a sync on
-/// the disk of a busy host can take seconds, which the tier takes for the loss of every machine at
-/// once.
-const MEMORY_FOLDER: &str = "/dev/shm";
+/// An in-memory directory, used if it exists. All machines of the demo share one disk; a sync on the
+/// disk of a busy host can take seconds, and the tier then detects the loss of all machines at once.
+const MEMORY_DIRECTORY: &str = "/dev/shm";
 
 #[test]
-fn clients_see_nothing_of_a_drained_proxy_a_killed_controller_and_a_killed_proxy() {
+fn clients_are_not_affected_by_a_drained_proxy_a_killed_controller_or_a_killed_proxy() {
     let mut demo = command(&["demo", "--programs", "16"]);
-    if Path::new(MEMORY_FOLDER).is_dir() {
-        demo.env("TMPDIR", MEMORY_FOLDER);
+    if Path::new(MEMORY_DIRECTORY).is_dir() {
+        demo.env("TMPDIR", MEMORY_DIRECTORY);
     }
-    let played = run(demo);
-    assert_eq!(played.code, 0, "{}\n{}", played.output, played.errors);
+    let finished = run(demo);
+    assert_eq!(finished.code, 0, "{}\n{}", finished.output, finished.errors);
     assert!(
-        played.output.contains("programs       16 of 16 whole"),
+        finished.output.contains("programs       16 of 16 whole"),
         "{}",
-        played.output
+        finished.output
     );
     assert!(
-        played.output.contains("drained the proxy"),
+        finished.output.contains("drained the proxy"),
         "{}",
-        played.output
+        finished.output
     );
     assert!(
-        played.output.contains("took the proxy"),
+        finished.output.contains("took the proxy"),
         "{}",
-        played.output
+        finished.output
     );
     assert!(
-        played.output.contains("killed the controller"),
+        finished.output.contains("killed the controller"),
         "{}",
-        played.output
+        finished.output
     );
     assert!(
-        played.output.contains("killed the proxy"),
+        finished.output.contains("killed the proxy"),
         "{}",
-        played.output
+        finished.output
     );
 }
--- a/tier/command/tests/drains.rs
+++ b/tier/command/tests/drains.rs
@@ -1,4 +1,4 @@
-//! `drain`, `undrain`, `drains` and `roll` against a controller that gives fixed answers.
+//! `drain`, `undrain`, `drains` and `roll` against a stub controller with fixed answers.
 
 mod common;
 
@@ -8,14 +8,15 @@
 
 use common::{command, run};
 
-/// A request's first line and body.
+/// Request line and body of a received request.
 struct ReceivedRequest {
     line: String,
     body: String,
 }
 
-/// Answers one connection after another by these, and ends.
-fn controller(
+/// Starts a stub controller that serves one connection per answer, in order; the thread returns the
+/// received requests.
+fn start_controller(
     answers: Vec<(&'static str, &'static str)>,
 ) -> (SocketAddr, JoinHandle<Vec<ReceivedRequest>>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
@@ -36,8 +37,8 @@
             }
             head.push(line);
         }
-        let mut asked = vec![0; length];
-        reader.read_exact(&mut asked).expect("the body");
+        let mut request_body = vec![0; length];
+        reader.read_exact(&mut request_body).expect("the body");
         let answer = format!(
             "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
             body.len()
@@ -46,7 +47,7 @@
             .get_mut()
             .write_all(answer.as_bytes())
             .expect("the caller reads");
-        let body = String::from_utf8(asked).expect("text");
+        let body = String::from_utf8(request_body).expect("text");
         ReceivedRequest {
             line: head[0].trim().to_owned(),
             body,
@@ -59,12 +60,12 @@
 }
 
 const NONE: &str = r#"{"number":3,"drains":[],"edges":[]}"#;
-const LEAVING: &str =
+const DRAINING: &str =
     r#"{"number":4,"drains":[{"node":"edge-1","number":4,"state":"leaving"}],"edges":[]}"#;
 
 #[test]
-fn an_order_names_the_last_order_it_builds_on() {
-    let (address, served) = controller(vec![("200 OK", NONE), ("200 OK", LEAVING)]);
+fn an_order_has_the_number_of_the_latest_order() {
+    let (address, served) = start_controller(vec![("200 OK", NONE), ("200 OK", DRAINING)]);
     let shown = run(command(&["drain", &address.to_string(), "edge-1"]));
     assert_eq!(shown.code, 0, "{}", shown.errors);
     assert!(
@@ -72,9 +73,9 @@
         "{}",
         shown.output
     );
-    let asked = served.join().expect("served");
-    assert_eq!(asked[1].line, "POST /-/drains HTTP/1.1");
-    let order: serde_json::Value = serde_json::from_str(&asked[1].body).expect("JSON");
+    let requests = served.join().expect("served");
+    assert_eq!(requests[1].line, "POST /-/drains HTTP/1.1");
+    let order: serde_json::Value = serde_json::from_str(&requests[1].body).expect("JSON");
     assert_eq!(order["expected"], 3);
     assert_eq!(
         (&order["leave"], &order["nodes"][0]),
@@ -85,7 +86,7 @@
 #[test]
 fn a_rejection_is_printed_with_its_reason() {
     let refusal = r#"{"error":"too few edges would stay in service"}"#;
-    let (address, served) = controller(vec![("200 OK", NONE), ("409 Conflict", refusal)]);
+    let (address, served) = start_controller(vec![("200 OK", NONE), ("409 Conflict", refusal)]);
     let shown = run(command(&["drain", &address.to_string(), "--zone", "z"]));
     assert_eq!(shown.code, 1);
     assert!(
@@ -98,7 +99,7 @@
 
 #[test]
 fn drains_are_printed_as_received() {
-    let (address, served) = controller(vec![("200 OK", LEAVING)]);
+    let (address, served) = start_controller(vec![("200 OK", DRAINING)]);
     let shown = run(command(&["drains", "--json", &address.to_string()]));
     assert_eq!(
         (shown.code, shown.output.contains(r#""state":"leaving""#)),
@@ -109,20 +110,20 @@
 
 #[test]
 fn a_rolling_restart_drains_restarts_and_undrains() {
-    let at_first = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
-    let empty = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
-    let back = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
-    let after = r#"{"number":2,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
-    // The list at the start and before each step; an order reads the list once more.
+    let initial = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
+    let drained = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
+    let restarted = r#"{"number":1,"drains":[{"node":"a","number":1,"state":"empty"}],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
+    let undrained = r#"{"number":2,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":2},{"node":"b","zone":"z","incarnation":1}]}"#;
+    // The drains are fetched at the start and before each step; each order fetches them once more.
     let bodies = [
-        at_first, at_first, at_first, empty, empty, back, back, after, after,
+        initial, initial, initial, drained, drained, restarted, restarted, undrained, undrained,
     ];
-    let (address, served) = controller(bodies.map(|body| ("200 OK", body)).to_vec());
+    let (address, served) = start_controller(bodies.map(|body| ("200 OK", body)).to_vec());
     let shown = run(command(&["roll", &address.to_string(), "a"]));
     assert_eq!(shown.code, 0, "{}", shown.errors);
-    let told: Vec<&str> = shown.output.lines().collect();
+    let printed: Vec<&str> = shown.output.lines().collect();
     assert_eq!(
-        told,
+        printed,
         [
             "drain a",
             "empty a: start it anew",
@@ -130,10 +131,10 @@
             "done: 1 forwarders"
         ]
     );
-    let asked = served.join().expect("served");
-    let orders: Vec<&ReceivedRequest> = asked
+    let requests = served.join().expect("served");
+    let orders: Vec<&ReceivedRequest> = requests
         .iter()
-        .filter(|asked| asked.line.starts_with("POST"))
+        .filter(|request| request.line.starts_with("POST"))
         .collect();
     assert_eq!(orders.len(), 2);
     assert!(
@@ -145,7 +146,7 @@
 fn a_rolling_restart_stops_when_a_machine_is_lost() {
     let both = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1},{"node":"b","zone":"z","incarnation":1}]}"#;
     let one = r#"{"number":0,"drains":[],"edges":[{"node":"a","zone":"z","incarnation":1}]}"#;
-    let (address, served) = controller(vec![("200 OK", both), ("200 OK", one)]);
+    let (address, served) = start_controller(vec![("200 OK", both), ("200 OK", one)]);
     let shown = run(command(&["roll", &address.to_string(), "a"]));
     assert_eq!(shown.code, 1);
     assert!(shown.errors.contains("b is lost"), "{}", shown.errors);
--- a/tier/command/tests/logging.rs
+++ b/tier/command/tests/logging.rs
@@ -1,4 +1,4 @@
-//! A role that can't start says why in its log.
+//! A role that cannot start logs the reason.
 
 mod common;
 
@@ -6,7 +6,7 @@
 
 use common::{command, run, Run};
 
-/// A role without its settings, with the given level and form of the log.
+/// Runs a role whose settings file does not exist, with the given log level and format.
 fn start_without_settings(level: &str, format: &str) -> Run {
     let mut command = command(&["agent", "--log-format", format]);
     command
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_reason_stands_in_a_line_of_text_without_colour() {
+fn the_reason_is_logged_as_text_without_colour() {
     let ended = start_without_settings("", "text");
     assert_eq!(ended.code, 1);
     assert!(
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn the_reason_stands_in_a_json_object() {
+fn the_reason_is_logged_as_json() {
     let ended = start_without_settings("", "json");
     let line: Value = serde_json::from_str(ended.output.trim()).expect("one JSON object");
     assert_eq!(line["level"], "ERROR");
@@ -39,10 +39,10 @@
 }
 
 #[test]
-fn the_level_is_chosen_by_the_environment() {
+fn the_level_is_set_by_the_environment_and_an_invalid_one_is_reported() {
     assert_eq!(start_without_settings("off", "text").output, "");
-    for not_understood in ["plankhill_agent=loud", "inof"] {
-        let warned = start_without_settings(not_understood, "text").output;
+    for invalid_level in ["plankhill_agent=loud", "inof"] {
+        let warned = start_without_settings(invalid_level, "text").output;
         assert!(
             warned.contains("WARN") && warned.contains("PLANKHILL_LOG"),
             "{warned}"
--- a/tier/command/tests/processes/cluster.rs
+++ b/tier/command/tests/processes/cluster.rs
@@ -1,4 +1,4 @@
-//! Three controllers, each a process with a relay in front of it.
+//! A cluster of three controller processes, with relays in front of their listeners.
 
 use std::fs::{self, File};
 use std::io::ErrorKind;
@@ -16,26 +16,26 @@
 use crate::http::{exchange, Request};
 
 pub const MACHINES: usize = 3;
-/// The first port of the tier's own traffic, at which a controller listens for others.
+/// First port of the range for internal traffic, at which a controller listens for other processes.
 const INTERNAL_PORT: u16 = 27_400;
 const LAST_INTERNAL_PORT: u16 = 27_415;
 const ADMIN_PORT: u16 = 27_001;
-/// Until all machines are in service, on a busy machine.
+/// Time until all machines are in service, generous for a busy host.
 const SERVICE_TIMEOUT: Duration = Duration::from_secs(60);
-/// `CONFIRMATION_TTL` of the chain, and time for a busy machine to ask.
+/// `CONFIRMATION_TTL` of the chain, plus time for a busy host to query the machine.
 const CONFIRMATION_TIMEOUT: Duration = Duration::from_secs(3);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Bytes of the length in front of a frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// Three controllers of one system.
+/// Three controllers that form one system.
 pub struct Cluster {
     network: LoopbackNetwork,
     folder: TempDir,
     processes: Vec<Option<Child>>,
-    /// In front of each machine, for what others of the tier send it.
+    /// One relay per machine, for traffic from other processes of the tier.
     internal: Vec<SharedRelay>,
-    /// In front of each machine's admin listener.
+    /// One relay per machine, in front of its admin listener.
     admin: Vec<Relay>,
 }
 
@@ -43,17 +43,17 @@
     format!("core-{}", index + 1)
 }
 
-/// Where others reach a machine.
+/// The address at which other machines reach a machine.
 fn advertised(network: &LoopbackNetwork, index: usize) -> Ipv4Addr {
     network.host(11 + index as u8)
 }
 
-/// Where the machine listens.
+/// The address at which the machine listens.
 fn bound(network: &LoopbackNetwork, index: usize) -> Ipv4Addr {
     network.host(31 + index as u8)
 }
 
-/// The sender's name, which the first frame of a connection bears.
+/// The sender's name, from the first frame of a connection.
 fn sender_of(bytes: &[u8]) -> Option<String> {
     let length: [u8; LENGTH_BYTES] = *bytes.first_chunk()?;
     let end = LENGTH_BYTES + u32::from_le_bytes(length) as usize;
@@ -62,7 +62,7 @@
 }
 
 impl Cluster {
-    /// Three machines at their very first start, in service.
+    /// Starts three machines for the first time and waits until they are in service.
     pub fn bootstrap() -> Self {
         let network = LoopbackNetwork::take();
         let internal = (0..MACHINES).map(|index| {
@@ -88,7 +88,7 @@
         cluster
     }
 
-    /// Where operators call a machine.
+    /// The address at which operators call a machine.
     pub fn admin(&self, index: usize) -> SocketAddr {
         self.admin[index].address()
     }
@@ -123,7 +123,7 @@
         let folder = self.folder.path();
         fs::create_dir_all(self.data(index)).expect("a folder");
         let settings = folder.join(format!("{}.toml", name(index)));
-        fs::write(&settings, self.settings(index, bootstrap)).expect("the settings");
+        fs::write(&settings, self.settings(index, bootstrap)).expect("writes the settings");
         let log = File::options()
             .create(true)
             .append(true)
@@ -137,24 +137,24 @@
             .stdout(log.try_clone().expect("the log"))
             .stderr(log)
             .spawn()
-            .expect("the command");
+            .expect("starts the command");
         self.processes[index] = Some(child);
     }
 
-    /// Starts a machine with the disk that it has.
+    /// Starts a machine with its existing data.
     pub fn start(&mut self, index: usize) {
         self.spawn(index, false);
     }
 
-    /// Kills a machine (SIGKILL).
+    /// Kills a machine with SIGKILL.
     pub fn kill(&mut self, index: usize) {
         if let Some(mut child) = self.processes[index].take() {
-            child.kill().expect("a process of this test");
-            child.wait().expect("a process of this test");
+            child.kill().expect("the process is a child of this test");
+            child.wait().expect("the process is a child of this test");
         }
     }
 
-    /// Removes the folder of a machine that is not running.
+    /// Removes the data directory of a machine that is not running.
     pub fn remove_disk(&mut self, index: usize) {
         match fs::remove_dir_all(self.data(index)) {
             Err(error) if error.kind() != ErrorKind::NotFound => panic!("{error}"),
@@ -162,22 +162,22 @@
         }
     }
 
-    /// SIGSTOP.
-    pub fn stop(&self, index: usize) {
+    /// Suspends a machine with SIGSTOP.
+    pub fn suspend(&self, index: usize) {
         self.signal(index, Signal::STOP);
     }
 
-    /// SIGCONT.
-    pub fn go_on(&self, index: usize) {
+    /// Resumes a machine with SIGCONT.
+    pub fn resume(&self, index: usize) {
         self.signal(index, Signal::CONT);
     }
 
     fn signal(&self, index: usize, signal: Signal) {
         let child = self.processes[index].as_ref().expect("a running machine");
-        kill_process(Pid::from_child(child), signal).expect("a process of this test");
+        kill_process(Pid::from_child(child), signal).expect("the process is a child of this test");
     }
 
-    /// Nothing passes any more between a machine and the others; operators still reach it.
+    /// Stalls all links between a machine and the others; operators still reach the machine.
     pub fn partition(&self, index: usize) {
         for other in (0..MACHINES).filter(|other| *other != index) {
             self.internal[index].link(&name(other)).stall();
@@ -185,14 +185,14 @@
         }
     }
 
-    /// Everything passes again.
+    /// Removes all faults from the links between machines.
     pub fn heal(&self) {
         for link in self.internal.iter().flat_map(SharedRelay::links) {
             link.heal();
         }
     }
 
-    /// Resets all connections: between machines, and of operators.
+    /// Resets all connections, both between machines and from operators.
     pub fn reset_all(&self) {
         for link in self.internal.iter().flat_map(SharedRelay::links) {
             link.reset();
@@ -202,7 +202,7 @@
         }
     }
 
-    /// The chain as a machine knows it, if that machine calls itself current.
+    /// The chain as reported by a machine, or `None` unless the machine reports itself as current.
     fn chain(&self, index: usize) -> Option<Vec<String>> {
         let request = Request {
             method: "GET",
@@ -223,8 +223,8 @@
         names.collect()
     }
 
-    /// Waits until a machine that is cut off does not call itself current any more: its last
-    /// confirmation counts for a second.
+    /// Waits until an isolated machine no longer reports itself as current: its last confirmation is
+    /// valid for one second.
     pub fn wait_until_not_current(&self, index: usize) {
         let began = Instant::now();
         while self.chain(index).is_some() {
@@ -233,14 +233,14 @@
         }
     }
 
-    /// Waits until all machines know a chain of this length.
+    /// Waits until all machines report a chain of this length.
     pub fn wait_for_chain(&self, length: usize) {
         for index in 0..MACHINES {
             self.wait_for_chain_seen_by(index, length);
         }
     }
 
-    /// Waits until one machine knows a chain of this length.
+    /// Waits until a given machine reports a chain of this length.
     pub fn wait_for_chain_seen_by(&self, index: usize, length: usize) {
         let began = Instant::now();
         loop {
@@ -258,12 +258,12 @@
         }
     }
 
-    /// The head of the chain, all machines being in service.
+    /// The index of the chain's head, as reported by the first machine.
     pub fn head(&self) -> usize {
         self.head_seen_by(0)
     }
 
-    /// The head of the chain as one machine knows it.
+    /// The index of the chain's head, as reported by a given machine.
     pub fn head_seen_by(&self, index: usize) -> usize {
         let began = Instant::now();
         while began.elapsed() < SERVICE_TIMEOUT {
@@ -274,7 +274,7 @@
             }
             sleep(POLL_INTERVAL);
         }
-        panic!("no head");
+        panic!("no chain head reported");
     }
 }
 
--- a/tier/command/tests/processes/http.rs
+++ b/tier/command/tests/processes/http.rs
@@ -1,23 +1,24 @@
-//! One HTTP request over a connection of its own, without a library: a test resets and cuts it.
+//! A minimal HTTP client with a connection per request, without a library: tests need a hook between
+//! the request and the answer, and reset the connections.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// A controller answers within 850 ms; far longer on a busy machine.
+/// Timeout of an answer: a controller answers within 850 ms, but may take far longer on a busy host.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// Status and body.
+/// Status and body of an HTTP answer.
 pub struct Answer {
     pub status: u16,
     pub body: String,
 }
 
-/// One request.
+/// An HTTP request to a controller.
 pub struct Request<'a> {
     pub method: &'a str,
     pub path: &'a str,
-    /// The version that a configuration builds on.
+    /// The version on which a configuration builds, sent as `If-Match`.
     pub expected: Option<u64>,
     pub body: &'a str,
 }
@@ -25,7 +26,7 @@
 /// Sends a request, calls `sent` once its last byte is written, and reads the answer.
 ///
 /// # Errors
-/// The operating system's, and `InvalidData` for what is no answer.
+/// Returns I/O errors, and `InvalidData` for a malformed answer.
 pub fn exchange(
     address: SocketAddr,
     request: &Request<'_>,
@@ -51,7 +52,7 @@
     parse(&answer).ok_or_else(|| io::ErrorKind::InvalidData.into())
 }
 
-/// An answer whose body is as long as its head says.
+/// Parses an answer; returns `None` if it is malformed or its body does not have the declared length.
 fn parse(answer: &str) -> Option<Answer> {
     let (head, body) = answer.split_once("\r\n\r\n")?;
     let status = head.get(9..12)?.parse().ok()?;
--- a/tier/command/tests/processes/main.rs
+++ b/tier/command/tests/processes/main.rs
@@ -1,9 +1,9 @@
-//! Controllers as processes of the command, on loopback, with relays between them: cut, stopped,
-//! killed, wiped and reset while two operators change the configuration.
+//! Fault injection on controllers that run as processes on loopback, with relays between them:
+//! partitions, suspended and killed processes, removed disks and connection resets while two
+//! operators change the configuration.
 //!
-//! After each fault: all machines are in service again, every acknowledged change is there, the
-//! history of requests is linearizable, and all machines answer a read with one and the same
-//! configuration.
+//! After each fault, all machines are in service again, no acknowledged change is lost, the history
+//! of requests is linearizable, and all machines return the same configuration.
 
 mod cluster;
 #[path = "../../../controller/tests/common/documents.rs"]
@@ -19,24 +19,25 @@
 use cluster::{Cluster, MACHINES};
 use operators::Operators;
 
-/// How long the operators act before a fault.
+/// Time for which the operators run before a fault.
 const BEFORE_FAULT: Duration = Duration::from_millis(1_500);
-/// How long they go on after everything is healed.
+/// Time for which the operators continue after recovery.
 const AFTER_FAULT: Duration = Duration::from_millis(1_500);
-/// The partition of the issue: far longer than any timeout of the chain.
+/// Duration of the partition: far longer than any timeout of the chain.
 const PARTITION: Duration = Duration::from_secs(20);
-/// How long a stopped head stays stopped: the others have a later view by then.
-const STOPPED: Duration = Duration::from_secs(3);
+/// Base duration of the other faults; the faults use all of it or a fraction.
+const FAULT_DURATION: Duration = Duration::from_secs(3);
 
-/// So many large changes are more than a log keeps beside its snapshot (4 MiB).
-const TRIMMED_AFTER: u64 = 35;
+/// Number of large changes that exceed the size up to which a log is kept beside its snapshot
+/// (4 MiB), so that the log is trimmed.
+const CHANGES_UNTIL_TRIM: u64 = 35;
 
 fn others(index: usize) -> Vec<usize> {
     (0..MACHINES).filter(|other| *other != index).collect()
 }
 
-/// Plays a fault beside two operators, and checks everything after it.
-fn play(large: bool, fault: impl FnOnce(&mut Cluster, &Operators)) {
+/// Injects a fault while two operators run, and checks the cluster and the history afterwards.
+fn run_with_fault(large: bool, fault: impl FnOnce(&mut Cluster, &Operators)) {
     let mut cluster = Cluster::bootstrap();
     let operators = Operators::start(&cluster, large);
     sleep(BEFORE_FAULT);
@@ -47,8 +48,8 @@
 }
 
 #[test]
-fn a_controller_cut_off_for_twenty_seconds() {
-    play(false, |cluster, operators| {
+fn a_controller_partitioned_for_twenty_seconds() {
+    run_with_fault(false, |cluster, operators| {
         let head = cluster.head();
         cluster.partition(head);
         cluster.wait_for_chain_seen_by(others(head)[0], MACHINES - 1);
@@ -62,27 +63,27 @@
 }
 
 #[test]
-fn a_head_stopped_between_accepting_and_answering() {
-    play(false, |cluster, operators| {
+fn a_head_suspended_between_accepting_and_answering() {
+    run_with_fault(false, |cluster, operators| {
         for delay_ms in [0, 1, 2, 4, 8] {
             let head = cluster.head();
-            // A change has just been sent to the head, and may be anywhere on its way.
+            // A change has just been sent to the head, and may be at any stage of processing.
             operators.wait_for_request_at(head);
             sleep(Duration::from_millis(delay_ms));
-            cluster.stop(head);
+            cluster.suspend(head);
             cluster.wait_for_chain_seen_by(others(head)[0], MACHINES - 1);
-            sleep(STOPPED / 3);
-            cluster.go_on(head);
+            sleep(FAULT_DURATION / 3);
+            cluster.resume(head);
             cluster.wait_for_chain(MACHINES);
         }
     });
 }
 
 #[test]
-fn the_donor_killed_during_a_snapshot() {
-    play(true, |cluster, operators| {
-        // The log has been trimmed by then, so that an empty member gets a snapshot.
-        operators.wait_for_acknowledged(TRIMMED_AFTER);
+fn the_donor_killed_during_a_snapshot_transfer() {
+    run_with_fault(true, |cluster, operators| {
+        // The log has been trimmed by then, so that a member without data needs a snapshot.
+        operators.wait_for_acknowledged(CHANGES_UNTIL_TRIM);
         for delay_ms in [60, 150, 300] {
             let empty = others(cluster.head())[0];
             cluster.kill(empty);
@@ -90,10 +91,11 @@
             cluster.remove_disk(empty);
             cluster.start(empty);
             sleep(Duration::from_millis(delay_ms));
-            // The head's heartbeats come first as a rule: the empty member asks the head.
+            // The head's heartbeats usually arrive first, so the empty member requests the snapshot
+            // from the head.
             let donor = cluster.head_seen_by(others(empty)[0]);
             cluster.kill(donor);
-            sleep(STOPPED / 6);
+            sleep(FAULT_DURATION / 6);
             cluster.start(donor);
             cluster.wait_for_chain(MACHINES);
         }
@@ -101,8 +103,8 @@
 }
 
 #[test]
-fn a_disk_removed_between_two_incarnations() {
-    play(false, |cluster, _| {
+fn each_disk_removed_between_two_incarnations() {
+    run_with_fault(false, |cluster, _| {
         for index in 0..MACHINES {
             cluster.kill(index);
             cluster.remove_disk(index);
@@ -114,9 +116,9 @@
 
 #[test]
 fn every_connection_reset_under_load() {
-    play(false, |cluster, _| {
+    run_with_fault(false, |cluster, _| {
         let began = Instant::now();
-        while began.elapsed() < STOPPED {
+        while began.elapsed() < FAULT_DURATION {
             sleep(Duration::from_millis(150));
             cluster.reset_all();
         }
@@ -124,8 +126,8 @@
 }
 
 #[test]
-fn all_killed_at_once() {
-    play(false, |cluster, _| {
+fn all_controllers_killed_at_once() {
+    run_with_fault(false, |cluster, _| {
         for _ in 0..3 {
             for index in 0..MACHINES {
                 cluster.kill(index);
--- a/tier/command/tests/processes/operators.rs
+++ b/tier/command/tests/processes/operators.rs
@@ -1,4 +1,4 @@
-//! Two operators who change the configuration at any of the machines, and know what was answered.
+//! Two operators that change the configuration through any of the machines, and record the answers.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -13,34 +13,35 @@
 use crate::register::{Answer, Content, Request as Operation};
 
 const OPERATORS: u64 = 2;
-/// Between two requests of one operator.
+/// Pause between two requests of an operator.
 const THINK_TIME: Duration = Duration::from_millis(30);
-/// Routes of a large configuration beside those by which contents differ, some 300 bytes each.
+/// Additional routes of a large configuration, some 300 bytes each; the number of further routes
+/// identifies the content.
 const LARGE_ROUTES: usize = 500;
-/// Reads that are tried until each machine has answered one.
+/// Time within which a read or a change must be answered.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Until large changes in some number are acknowledged.
+/// Time within which the awaited number of changes must be acknowledged.
 const CHANGES_TIMEOUT: Duration = Duration::from_secs(40);
-/// Fewer changes would show nothing.
+/// Minimum number of acknowledged changes for a meaningful test.
 const MIN_ACKNOWLEDGED: u64 = 3;
-/// The content of the last change, which no operator uses.
+/// Content of the last change; the operators do not use it.
 const LAST_CONTENT: usize = 9;
-/// No request is at any machine.
-const NOWHERE: usize = usize::MAX;
+/// Value of `Shared::request_at` if no request has been sent.
+const NO_MACHINE: usize = usize::MAX;
 
 struct Shared {
     history: Mutex<ObservedHistory>,
     machines: Vec<SocketAddr>,
-    /// The newest version that was acknowledged or read.
+    /// The latest version that was acknowledged or read.
     newest: AtomicU64,
     acknowledged: AtomicU64,
-    /// The machine that a change was sent to last.
+    /// The machine to which the latest change was sent.
     request_at: AtomicUsize,
-    has_ended: AtomicBool,
+    is_stopped: AtomicBool,
     base_routes: usize,
 }
 
-/// Two operators, each on a thread.
+/// The running operators, each on its own thread.
 pub struct Operators {
     shared: Arc<Shared>,
     threads: Vec<JoinHandle<()>>,
@@ -53,7 +54,7 @@
             .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// One request at one machine, recorded with its answer if that is a clear one.
+    /// Sends a request to a machine, and records it with its answer unless the outcome is unknown.
     fn request(&self, machine: usize, operation: &Operation) -> Option<Answer> {
         let number = self.history().call(operation.clone());
         let answer = self.send(machine, operation)?;
@@ -118,19 +119,19 @@
 
     fn run_operator(&self, operator: u64) {
         let mut turn = operator;
-        let mut repeated: Option<Operation> = None;
-        while !self.has_ended.load(Ordering::SeqCst) {
+        let mut unresolved: Option<Operation> = None;
+        while !self.is_stopped.load(Ordering::SeqCst) {
             turn += 1;
             let machine = (turn * 7 + operator) as usize % MACHINES;
-            let operation = match (repeated.take(), turn % 5) {
-                (Some(unclear), _) => unclear,
+            let operation = match (unresolved.take(), turn % 5) {
+                (Some(operation), _) => operation,
                 (None, 0) => Operation::Read,
                 (None, _) => self.next_change(operator),
             };
             let answer = self.request(machine, &operation);
-            // A change without a clear answer is sent again, to another machine.
+            // On even turns, sends a change with an unknown outcome again, to another machine.
             if answer.is_none() && operation != Operation::Read && turn.is_multiple_of(2) {
-                repeated = Some(operation);
+                unresolved = Some(operation);
             }
             sleep(THINK_TIME);
         }
@@ -144,15 +145,15 @@
 }
 
 impl Operators {
-    /// Starts them. Large configurations have so many routes more.
+    /// Starts the operators. With `large`, configurations have [`LARGE_ROUTES`] additional routes.
     pub fn start(cluster: &Cluster, large: bool) -> Self {
         let shared = Arc::new(Shared {
             history: Mutex::default(),
             machines: (0..MACHINES).map(|index| cluster.admin(index)).collect(),
             newest: AtomicU64::new(0),
             acknowledged: AtomicU64::new(0),
-            request_at: AtomicUsize::new(NOWHERE),
-            has_ended: AtomicBool::new(false),
+            request_at: AtomicUsize::new(NO_MACHINE),
+            is_stopped: AtomicBool::new(false),
             base_routes: if large { LARGE_ROUTES } else { 0 },
         });
         let threads = (0..OPERATORS).map(|operator| {
@@ -165,35 +166,41 @@
         }
     }
 
-    /// Changes acknowledged so far.
+    /// Number of changes acknowledged so far.
     pub fn acknowledged(&self) -> u64 {
         self.shared.acknowledged.load(Ordering::SeqCst)
     }
 
-    /// Waits for so many changes.
+    /// Waits until at least `changes` changes are acknowledged.
     pub fn wait_for_acknowledged(&self, changes: u64) {
         let began = Instant::now();
         while self.acknowledged() < changes {
-            assert!(began.elapsed() < CHANGES_TIMEOUT, "too few changes");
+            assert!(
+                began.elapsed() < CHANGES_TIMEOUT,
+                "too few changes acknowledged"
+            );
             sleep(THINK_TIME);
         }
     }
 
-    /// Waits until a change has been sent to this machine.
+    /// Waits until a change is sent to `machine`.
     pub fn wait_for_request_at(&self, machine: usize) {
-        self.shared.request_at.store(NOWHERE, Ordering::SeqCst);
+        self.shared.request_at.store(NO_MACHINE, Ordering::SeqCst);
         let began = Instant::now();
         while self.shared.request_at.load(Ordering::SeqCst) != machine {
-            assert!(began.elapsed() < READ_TIMEOUT, "no request");
+            assert!(
+                began.elapsed() < READ_TIMEOUT,
+                "no change was sent to machine {machine}"
+            );
             std::hint::spin_loop();
         }
     }
 
-    /// Ends the operators, and checks what they have seen.
+    /// Stops the operators and checks the recorded history.
     pub fn stop_and_check(self, cluster: &Cluster) {
-        self.shared.has_ended.store(true, Ordering::SeqCst);
+        self.shared.is_stopped.store(true, Ordering::SeqCst);
         for thread in self.threads {
-            thread.join().expect("an operator");
+            thread.join().expect("the operator thread did not panic");
         }
         let acknowledged = self.shared.acknowledged.load(Ordering::SeqCst);
         assert!(acknowledged >= MIN_ACKNOWLEDGED, "{acknowledged} changes");
@@ -211,8 +218,8 @@
     }
 }
 
-/// A change with a clear answer: one that is still on its way without an answer cannot come into
-/// force after it. Its content.
+/// Makes a change that is acknowledged, and returns its content. An earlier change without an answer
+/// that is still in flight cannot take effect after it.
 fn make_last_change(shared: &Shared) -> Content {
     let began = Instant::now();
     while began.elapsed() < READ_TIMEOUT {
@@ -225,10 +232,10 @@
             }
         }
     }
-    panic!("no clear answer to a change");
+    panic!("no change was acknowledged");
 }
 
-/// A read at one machine, tried until there is an answer.
+/// Reads the configuration from a machine, with retries until it answers.
 fn read(shared: &Shared, machine: usize) -> Content {
     let began = Instant::now();
     while began.elapsed() < READ_TIMEOUT {
@@ -237,5 +244,5 @@
         }
         sleep(THINK_TIME);
     }
-    panic!("no answer to a read");
+    panic!("no answer to a read from machine {machine}");
 }
--- a/tier/command/tests/rendering.rs
+++ b/tier/command/tests/rendering.rs
@@ -1,4 +1,4 @@
-//! JSON written for people.
+//! Rendering of JSON as human-readable text.
 
 use plankhill_tier::render;
 use serde_json::json;
@@ -13,12 +13,12 @@
 }
 
 #[test]
-fn lists_of_plain_values_stand_on_one_line() {
+fn lists_of_scalars_are_on_one_line() {
     assert_eq!(render(&json!({"chain": ["a", "b"]})), "chain: a, b\n");
 }
 
 #[test]
-fn lists_of_like_objects_become_tables() {
+fn lists_of_flat_objects_are_tables() {
     let text = render(
         &json!({"edges": [{"lag": 0, "node": "edge-1"}, {"lag": 12, "node": "e2", "note": "slow"}]}),
     );
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn deeper_objects_are_indented() {
+fn nested_objects_are_indented() {
     let text = render(&json!({"view": {"members": [{"ports": {"a": 1}}], "number": 3}}));
     assert_eq!(
         text,
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn plain_documents_are_one_line() {
+fn scalar_and_empty_documents_have_at_most_one_line() {
     assert_eq!(render(&json!("word")), "word\n");
     assert_eq!(render(&json!({})), "");
     assert_eq!(render(&json!([])), "");
--- a/tier/command/tests/status.rs
+++ b/tier/command/tests/status.rs
@@ -1,4 +1,4 @@
-//! `status` against a controller that gives a fixed answer.
+//! `status` against a stub controller with a fixed answer.
 
 mod common;
 
@@ -10,7 +10,7 @@
 
 const BODY: &str = r#"{"version":7,"view":{"number":2,"chain":["core-1","core-2"]}}"#;
 
-/// Takes one connection, reads a request's head, and answers `answer`.
+/// Accepts one connection, reads the head of a request, and writes `answer`.
 fn serve_once(answer: String) -> (SocketAddr, JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener
@@ -19,13 +19,13 @@
     let served = thread::spawn(move || {
         let (mut stream, _) = listener.accept().expect("one caller");
         let mut head = Vec::new();
-        let mut piece = [0; 512];
+        let mut chunk = [0; 512];
         while !head.ends_with(b"\r\n\r\n") {
             let length = stream
-                .read(&mut piece)
+                .read(&mut chunk)
                 .expect("the caller sends its request");
-            assert_ne!(length, 0, "the caller left");
-            head.extend_from_slice(&piece[..length]);
+            assert_ne!(length, 0, "the caller closed the connection");
+            head.extend_from_slice(&chunk[..length]);
         }
         stream
             .write_all(answer.as_bytes())
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_status_is_printed_for_people() {
+fn a_status_is_printed_as_text() {
     let shown = status_of(answer("200 OK", BODY), &[]);
     assert_eq!(shown.code, 0, "{}", shown.errors);
     assert!(shown.output.contains("version: 7"), "{}", shown.output);
@@ -60,24 +60,24 @@
 }
 
 #[test]
-fn a_status_is_printed_as_received() {
+fn a_status_is_printed_as_received_with_json() {
     let shown = status_of(answer("200 OK", BODY), &["--json"]);
     assert_eq!((shown.code, shown.output.trim()), (0, BODY));
 }
 
 #[test]
-fn a_rejection_and_an_answer_that_is_no_json_are_failures() {
+fn rejections_and_malformed_answers_are_failures() {
     let refused = status_of(answer("503 Service Unavailable", ""), &[]);
     assert_eq!(refused.code, 1);
     assert!(refused.errors.contains("503"), "{}", refused.errors);
-    let broken = status_of(answer("200 OK", "{"), &[]);
-    assert_eq!(broken.code, 1);
-    assert!(broken.errors.contains("JSON"), "{}", broken.errors);
-    let cut = status_of(
+    let malformed = status_of(answer("200 OK", "{"), &[]);
+    assert_eq!(malformed.code, 1);
+    assert!(malformed.errors.contains("JSON"), "{}", malformed.errors);
+    let truncated = status_of(
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{}".to_owned(),
         &[],
     );
-    assert_eq!(cut.code, 1);
+    assert_eq!(truncated.code, 1);
 }
 
 #[test]
