--- a/forwarder/process-tests/src/clients.rs
+++ b/forwarder/process-tests/src/clients.rs
@@ -1,73 +1,79 @@
-//! Clients: each request on a connection of its own, and what became of it in the book.
+//! Clients: each request uses a separate connection, and its outcome is recorded in the trace.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use crate::book::{Book, Effect, Seen};
 use crate::http;
+use crate::trace::{Idempotency, Trace, TraceRecord};
 
-/// An event as a client hands it in.
+/// An event that a client submits.
 #[derive(Clone, Debug)]
-pub struct Handed {
+pub struct EventRequest {
     pub id: String,
-    /// The id under which the client first handed in what it wants done.
+    /// The id under which the client first submitted the same operation.
     pub origin: String,
-    pub effect: Effect,
+    pub idempotency: Idempotency,
+    /// The order key.
     pub key: Option<u64>,
-    /// How long it may be delivered.
-    pub patience: Duration,
-    /// How long the client waits for its answer.
-    pub waits: Duration,
+    /// Time from submission to the deadline of the delivery.
+    pub time_to_deadline: Duration,
+    /// Time for which the client waits for the response.
+    pub response_timeout: Duration,
+    /// Size of the body in bytes.
     pub body: usize,
 }
 
-impl Handed {
-    pub fn new(id: &str, effect: Effect) -> Handed {
-        let (patience, waits) = (Duration::from_secs(60), Duration::from_secs(20));
-        Handed {
+impl EventRequest {
+    pub fn new(id: &str, idempotency: Idempotency) -> EventRequest {
+        let (time_to_deadline, response_timeout) =
+            (Duration::from_secs(60), Duration::from_secs(20));
+        EventRequest {
             id: id.into(),
             origin: id.into(),
-            effect,
+            idempotency,
             key: None,
-            patience,
-            waits,
+            time_to_deadline,
+            response_timeout,
             body: 4,
         }
     }
-    pub fn key(self, key: u64) -> Handed {
-        Handed {
+    pub fn key(self, key: u64) -> EventRequest {
+        EventRequest {
             key: Some(key),
             ..self
         }
     }
-    pub fn waits(self, waits: Duration) -> Handed {
-        Handed { waits, ..self }
+    pub fn response_timeout(self, response_timeout: Duration) -> EventRequest {
+        EventRequest {
+            response_timeout,
+            ..self
+        }
     }
-    pub fn body(self, body: usize) -> Handed {
-        Handed { body, ..self }
+    pub fn body(self, body: usize) -> EventRequest {
+        EventRequest { body, ..self }
     }
-    /// The same thing again, under an id of its own.
-    pub fn again(&self, id: &str) -> Handed {
-        Handed {
+    /// The same operation under another id.
+    pub fn with_id(&self, id: &str) -> EventRequest {
+        EventRequest {
             id: id.into(),
             ..self.clone()
         }
     }
 
-    /// Ordered by key and unordered traffic types are told apart.
+    /// The path of the traffic type, which depends on the idempotency and on whether the event has an order key.
     fn path(&self) -> &'static str {
-        match (self.effect, self.key) {
-            (Effect::Retriable, None) => "job",
-            (Effect::Fingerprinted, None) => "order",
-            (Effect::Binding, None) => "charge",
-            (Effect::Retriable, Some(_)) => "job-in-order",
-            (Effect::Fingerprinted, Some(_)) => "order-in-order",
-            (Effect::Binding, Some(_)) => "charge-in-order",
+        match (self.idempotency, self.key) {
+            (Idempotency::Idempotent, None) => "job",
+            (Idempotency::Deduplicated, None) => "order",
+            (Idempotency::NonIdempotent, None) => "charge",
+            (Idempotency::Idempotent, Some(_)) => "job-in-order",
+            (Idempotency::Deduplicated, Some(_)) => "order-in-order",
+            (Idempotency::NonIdempotent, Some(_)) => "charge-in-order",
         }
     }
 
-    fn request(&self) -> Vec<u8> {
+    fn to_http(&self) -> Vec<u8> {
         let key = self
             .key
             .map_or(String::new(), |key| format!("Cookie: about={key:x}\r\n"));
@@ -76,7 +82,7 @@
              Idempotency-Key: f-{}\r\n{key}Content-Length: {}\r\n\r\n",
             self.path(),
             self.id,
-            self.patience.as_secs_f64(),
+            self.time_to_deadline.as_secs_f64(),
             self.origin,
             self.body
         );
@@ -86,63 +92,69 @@
     }
 }
 
+/// Response to a submission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// 202: promised.
-    Taken,
-    /// 503 or 429: surely not taken on.
-    Refused,
+    /// 202: the event is accepted.
+    Accepted,
+    /// 503 or 429: the event is certainly not accepted.
+    Rejected,
     /// Another status.
     Failed(u16),
-    /// None: it may have been taken on or not.
-    Unheard,
+    /// No response: the event may have been accepted or not.
+    NoResponse,
 }
 
-/// Hands it in to the instance that is reached at `to`.
-pub fn hand_in(book: &Book, instance: usize, to: SocketAddr, handed: &Handed) -> Answer {
-    let (event, origin) = (book.event(&handed.id), book.event(&handed.origin));
-    let Handed {
-        effect,
+/// Submits an event to the instance at the address `to`.
+pub fn submit(trace: &Trace, instance: usize, to: SocketAddr, request: &EventRequest) -> Answer {
+    let (event, origin) = (
+        trace.event_number(&request.id),
+        trace.event_number(&request.origin),
+    );
+    let EventRequest {
+        idempotency,
         key,
-        patience,
+        time_to_deadline,
         ..
-    } = *handed;
-    let patience = patience.as_secs_f64() * 1000.0;
-    book.note(Seen::Asked {
+    } = *request;
+    let time_to_deadline = time_to_deadline.as_secs_f64() * 1000.0;
+    trace.record(TraceRecord::RequestSent {
         instance,
         event,
         origin,
-        effect,
+        idempotency,
         key,
-        patience,
+        time_to_deadline,
     });
-    let status = exchange(to, handed);
-    book.note(match status {
-        Some(status) => Seen::Answered { event, status },
-        None => Seen::Unheard { event },
+    let status = exchange(to, request);
+    trace.record(match status {
+        Some(status) => TraceRecord::ResponseReceived { event, status },
+        None => TraceRecord::NoResponse { event },
     });
     match status {
-        Some(202) => Answer::Taken,
-        Some(503 | 429) => Answer::Refused,
+        Some(202) => Answer::Accepted,
+        Some(503 | 429) => Answer::Rejected,
         Some(other) => Answer::Failed(other),
-        None => Answer::Unheard,
+        None => Answer::NoResponse,
     }
 }
 
-fn exchange(to: SocketAddr, handed: &Handed) -> Option<u16> {
-    let mut stream = TcpStream::connect_timeout(&to, handed.waits).ok()?;
-    stream.set_read_timeout(Some(handed.waits)).ok()?;
-    stream.write_all(&handed.request()).ok()?;
+fn exchange(to: SocketAddr, request: &EventRequest) -> Option<u16> {
+    let mut stream = TcpStream::connect_timeout(&to, request.response_timeout).ok()?;
+    stream
+        .set_read_timeout(Some(request.response_timeout))
+        .ok()?;
+    stream.write_all(&request.to_http()).ok()?;
     http::read(&mut BufReader::new(stream))
         .ok()
         .map(|answer| answer.status())
 }
 
-/// The status of a `GET` there, if it is answered.
+/// Sends a `GET` request; returns the status of the response, if there is one.
 pub fn get(to: SocketAddr, path: &str) -> Option<u16> {
-    let waits = Duration::from_secs(5);
-    let mut stream = TcpStream::connect_timeout(&to, waits).ok()?;
-    stream.set_read_timeout(Some(waits)).ok()?;
+    let response_timeout = Duration::from_secs(5);
+    let mut stream = TcpStream::connect_timeout(&to, response_timeout).ok()?;
+    stream.set_read_timeout(Some(response_timeout)).ok()?;
     stream
         .write_all(format!("GET {path} HTTP/1.1\r\nHost: x\r\n\r\n").as_bytes())
         .ok()?;
--- a/forwarder/process-tests/src/discovery.rs
+++ b/forwarder/process-tests/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's agents, one on each instance's machine: the list as that instance may reach targets, watches
-//! and notices.
+//! Test double of the discovery agents, one on each instance's machine: serves the list of targets with the addresses
+//! for that instance, watches of the list, and notifications.
 
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
@@ -9,7 +9,7 @@
 
 use serde_json::{json, Value};
 
-use crate::book::{Book, Seen};
+use crate::trace::{Trace, TraceRecord};
 use plankhill_test_relay::ThreadedListener;
 
 use crate::http;
@@ -17,31 +17,32 @@
 struct Member {
     cell: u64,
     phase: &'static str,
-    /// As each instance reaches it.
+    /// The address for each instance.
     addresses: Vec<SocketAddr>,
 }
 
 struct State {
     revision: u64,
     members: Vec<Member>,
-    /// What each instance said that it knows.
-    known: Vec<u64>,
-    deaf: bool,
+    /// The latest revision that each instance has acknowledged.
+    acknowledged_revisions: Vec<u64>,
+    rejects_notifications: bool,
 }
 
 struct Agent {
-    book: Book,
+    trace: Trace,
     state: Mutex<State>,
 }
 
+/// A running test double of discovery, with a listener for each instance.
 pub struct Discovery {
     agent: Arc<Agent>,
-    doors: Vec<ThreadedListener>,
+    listeners: Vec<ThreadedListener>,
 }
 
 impl Discovery {
-    /// `targets`: the cell of each, and its address for each instance.
-    pub fn new(instances: usize, targets: Vec<(u64, Vec<SocketAddr>)>, book: &Book) -> Discovery {
+    /// Starts discovery. `targets`: the cell of each target, and its address for each instance.
+    pub fn new(instances: usize, targets: Vec<(u64, Vec<SocketAddr>)>, trace: &Trace) -> Discovery {
         let member = |(cell, addresses)| Member {
             cell,
             phase: "up",
@@ -51,42 +52,48 @@
         let state = Mutex::new(State {
             revision: 41,
             members,
-            known: vec![0; instances],
-            deaf: false,
+            acknowledged_revisions: vec![0; instances],
+            rejects_notifications: false,
         });
         let agent = Arc::new(Agent {
-            book: book.clone(),
+            trace: trace.clone(),
             state,
         });
-        let door = |instance| {
+        let listener = |instance| {
             let agent = agent.clone();
             ThreadedListener::open(move |stream| agent.serve(stream, instance))
         };
-        let doors = (0..instances).map(door).collect();
-        Discovery { agent, doors }
+        let listeners = (0..instances).map(listener).collect();
+        Discovery { agent, listeners }
     }
 
+    /// The address at which an instance reaches its agent.
     pub fn address_for(&self, instance: usize) -> SocketAddr {
-        self.doors[instance].address
+        self.listeners[instance].address
     }
 
-    /// While it is deaf, notices are answered 500.
-    pub fn set_deaf(&self, deaf: bool) {
-        self.agent.state().deaf = deaf;
+    /// Sets whether notifications are answered with 500.
+    pub fn set_rejects_notifications(&self, rejects_notifications: bool) {
+        self.agent.state().rejects_notifications = rejects_notifications;
     }
 
+    /// Changes the phase of a target in the list.
     pub fn set_phase(&self, target: usize, phase: &'static str) {
         let mut state = self.agent.state();
         state.members[target].phase = phase;
         state.revision += 1;
     }
 
-    /// Whether each instance has asked for what comes after the list as it is now: it has read that.
-    pub fn is_known(&self) -> bool {
+    /// Whether each instance has read the current list: it has requested changes since the current revision.
+    pub fn is_list_acknowledged(&self) -> bool {
         let state = self.agent.state();
-        state.known.iter().all(|known| *known >= state.revision)
+        state
+            .acknowledged_revisions
+            .iter()
+            .all(|acknowledged_revisions| *acknowledged_revisions >= state.revision)
     }
 
+    /// The current list with the addresses for an instance.
     pub fn list_for(&self, instance: usize) -> Value {
         self.agent.state().list(instance)
     }
@@ -107,67 +114,70 @@
     fn state(&self) -> MutexGuard<'_, State> {
         self.state
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
     fn serve(&self, stream: TcpStream, instance: usize) {
         let mut from = BufReader::new(stream);
-        while http::begins(&mut from) {
+        while http::has_next_message(&mut from) {
             let Ok(message) = http::read(&mut from) else {
                 return;
             };
-            let (status, body) = match message.is("POST /status ") {
-                true => (self.notices(&message), String::new()),
+            let (status, body) = match message.starts_with("POST /status ") {
+                true => (self.receive_notifications(&message), String::new()),
                 false => match self.watch(&message, from.get_ref(), instance) {
                     Some(list) => (200, list.to_string()),
                     None => return,
                 },
             };
-            if http::answer(from.get_mut(), status, "", &body).is_err() {
+            if http::write_response(from.get_mut(), status, "", &body).is_err() {
                 return;
             }
         }
     }
 
-    fn notices(&self, message: &http::Message) -> u16 {
-        if self.state().deaf {
+    fn receive_notifications(&self, message: &http::Message) -> u16 {
+        if self.state().rejects_notifications {
             return 500;
         }
         for line in String::from_utf8_lossy(&message.body).lines() {
-            let notice: Value = serde_json::from_str(line).expect("one JSON value a line");
-            let event = self.book.event(notice["message"].as_str().expect("an id"));
-            self.book.note(Seen::Notice {
+            let notice: Value = serde_json::from_str(line).expect("one JSON value per line");
+            let event = self
+                .trace
+                .event_number(notice["message"].as_str().expect("an id"));
+            self.trace.record(TraceRecord::NotificationReceived {
                 event,
-                given_up: notice["outcome"] == "given_up",
+                is_abandoned: notice["outcome"] == "given_up",
             });
         }
         204
     }
 
-    /// The list, at once or as soon as it is newer than what is known.
+    /// Returns the list once it is newer than the requested revision or the request's timeout ends; `None` if the
+    /// connection closes.
     fn watch(&self, message: &http::Message, stream: &TcpStream, instance: usize) -> Option<Value> {
         let path = message.head.split(' ').nth(1).unwrap_or_default();
-        let asked = |name: &str| -> Option<u64> {
+        let query_parameter = |name: &str| -> Option<u64> {
             let fields = path.split(['?', '&']);
             fields
                 .filter_map(|field| field.strip_prefix(name)?.strip_prefix('=')?.parse().ok())
                 .next()
         };
-        let wait = Duration::from_millis(asked("timeout_ms").unwrap_or(0));
-        let (since, by) = (asked("since").unwrap_or(0), Instant::now() + wait);
-        self.state().known[instance] = since;
+        let wait = Duration::from_millis(query_parameter("timeout_ms").unwrap_or(0));
+        let (since, by) = (query_parameter("since").unwrap_or(0), Instant::now() + wait);
+        self.state().acknowledged_revisions[instance] = since;
         while self.state().revision <= since && Instant::now() < by {
-            if http::is_gone(stream) {
+            if http::is_closed(stream) {
                 return None;
             }
             thread::sleep(Duration::from_millis(5));
         }
         let state = self.state();
         for (target, member) in state.members.iter().enumerate() {
-            self.book.note(Seen::Listed {
+            self.trace.record(TraceRecord::TargetListed {
                 instance,
                 target,
-                leaves: member.phase != "up",
+                is_draining: member.phase != "up",
             });
         }
         Some(state.list(instance))
--- a/forwarder/process-tests/src/http.rs
+++ b/forwarder/process-tests/src/http.rs
@@ -1,15 +1,16 @@
-//! Messages of stand-ins, as raw as faults need them.
+//! Minimal HTTP/1.1 messages for the test doubles, at a level low enough to inject faults.
 
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 
-/// A request or an answer, whole.
+/// A complete request or response.
 pub struct Message {
     pub head: String,
     pub body: Vec<u8>,
 }
 
 impl Message {
+    /// The value of a header field.
     pub fn field(&self, name: &str) -> Option<&str> {
         let named = |line: &&str| {
             line.split_once(": ")
@@ -21,11 +22,12 @@
             .map(|line| &line[name.len() + 2..])
     }
 
-    pub fn is(&self, start: &str) -> bool {
+    /// Whether the message starts with `start`.
+    pub fn starts_with(&self, start: &str) -> bool {
         self.head.starts_with(start)
     }
 
-    /// Of an answer.
+    /// The status of a response; 0 if it is malformed.
     pub fn status(&self) -> u16 {
         self.head
             .get(9..12)
@@ -34,11 +36,12 @@
     }
 }
 
-/// Returns once the first byte of a message is there, or `false` at the stream's end.
-pub fn begins(from: &mut BufReader<TcpStream>) -> bool {
+/// Waits for the first byte of a message; returns `false` at the end of the stream.
+pub fn has_next_message(from: &mut BufReader<TcpStream>) -> bool {
     from.fill_buf().is_ok_and(|bytes| !bytes.is_empty())
 }
 
+/// Reads a complete message.
 pub fn read(from: &mut BufReader<TcpStream>) -> io::Result<Message> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -58,7 +61,8 @@
     Ok(message)
 }
 
-pub fn answer(to: &mut impl Write, status: u16, more: &str, body: &str) -> io::Result<()> {
+/// Writes a response with the additional header lines `more`.
+pub fn write_response(to: &mut impl Write, status: u16, more: &str, body: &str) -> io::Result<()> {
     let length = if status == 204 {
         String::new()
     } else {
@@ -67,13 +71,13 @@
     to.write_all(format!("HTTP/1.1 {status} So\r\n{more}{length}\r\n{body}").as_bytes())
 }
 
-/// Whether the other side has ended its sending, or the connection has broken.
-pub fn is_gone(stream: &TcpStream) -> bool {
+/// Whether the peer has closed its sending direction, or the connection has failed.
+pub fn is_closed(stream: &TcpStream) -> bool {
     let _ = stream.set_nonblocking(true);
-    let gone = match stream.peek(&mut [0]) {
+    let closed = match stream.peek(&mut [0]) {
         Ok(read) => read == 0,
         Err(e) => e.kind() != io::ErrorKind::WouldBlock,
     };
     let _ = stream.set_nonblocking(false);
-    gone
+    closed
 }
--- a/forwarder/process-tests/src/lib.rs
+++ b/forwarder/process-tests/src/lib.rs
@@ -1,48 +1,47 @@
-//! Several processes of the built program as their peers meet them, with every link between them in the
-//! test's hands. What clients, targets and discovery saw goes into one [`Book`] under one clock, and the
-//! verdict over it is `plankhill-invariants`'s. A story does something, waits for what it should see, and asks
-//! for the verdict; nothing waits for a fixed time.
+//! Tests of several processes of the forwarder, with a relay on every link that can inject faults. What clients,
+//! targets and discovery observe is recorded in one [`Trace`] with one clock, and `plankhill-invariants` checks it.
+//! A test injects faults, waits for the expected outcome, and checks the invariants; it never waits for a fixed time.
 
-mod book;
 mod broadcasts;
+mod check_invariants;
 mod clients;
-mod copies;
+mod cluster;
 mod discovery;
+mod fault_injector;
 mod http;
 mod load;
-mod place;
+mod options;
 mod process;
 mod program;
+mod replication;
+mod reserved_address;
 mod target;
-mod told;
-mod verdict;
-mod walk;
-mod world;
+mod trace;
 
-pub use book::{Book, Effect, Seen};
-pub use broadcasts::Copy;
-pub use clients::{Answer, Handed};
+pub use broadcasts::CopyOutcome;
+pub use check_invariants::find_violations;
+pub use clients::{Answer, EventRequest};
+pub use cluster::{Cluster, Instance};
 pub use discovery::Discovery;
+pub use fault_injector::{Fault, FaultInjector, LinkSet};
 pub use load::Load;
-pub use place::Place;
+pub use options::ClusterOptions;
 pub use plankhill_test_relay::{Delivery, Direction, Relay};
-pub use process::{Elder, Process};
-pub use target::{Manner, Target};
-pub use told::Told;
-pub use verdict::breaches;
-pub use walk::{Fault, Links, Walk};
-pub use world::{Instance, World};
+pub use process::{Predecessor, Process};
+pub use reserved_address::ReservedAddress;
+pub use target::{Target, TargetBehavior};
+pub use trace::{Idempotency, Trace, TraceRecord};
 
 use std::time::{Duration, Instant};
 
-/// The bound of every wait for something that should come: past the patience of what clients hand in.
-pub const LONG: Duration = Duration::from_secs(75);
+/// Timeout of every wait for an expected condition: longer than the deadline of the clients' events.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(75);
 
-/// Returns once it holds, or fails the story: `what` says what was waited for.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let by = Instant::now() + LONG;
+/// Waits until `holds` returns `true`, or fails the test; `what` describes the condition.
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let by = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
-        assert!(Instant::now() < by, "waited in vain: {what}");
+        assert!(Instant::now() < by, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
--- a/forwarder/process-tests/src/load.rs
+++ b/forwarder/process-tests/src/load.rs
@@ -1,4 +1,4 @@
-//! Clients that go on handing in events while a story does what it does.
+//! Clients that submit events in the background during a test.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -9,48 +9,55 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use crate::book::{Book, Effect};
-use crate::clients::{self, Answer, Handed};
-use crate::until;
+use crate::clients::{self, Answer, EventRequest};
+use crate::trace::{Idempotency, Trace};
+use crate::wait_until;
 
-/// Clients at work; they stop with this.
+/// Running clients, which stop when this value is dropped.
 pub struct Load {
     stop: Arc<AtomicBool>,
-    taken: Arc<AtomicUsize>,
+    accepted: Arc<AtomicUsize>,
     clients: Vec<JoinHandle<()>>,
 }
 
-/// Each client hands in so many at most: a story that hangs must not fill the memory.
-const MOST: usize = 10_000;
+/// Maximum number of events of a client: a test that hangs must not exhaust the memory.
+const MAX_EVENTS_PER_CLIENT: usize = 10_000;
 
 impl Load {
-    pub(crate) fn start(book: &Book, all: &[SocketAddr], seed: u64, number: usize) -> Load {
-        let (stop, taken) = (
+    pub(crate) fn start(trace: &Trace, addresses: &[SocketAddr], seed: u64, number: usize) -> Load {
+        let (stop, accepted) = (
             Arc::new(AtomicBool::new(false)),
             Arc::new(AtomicUsize::new(0)),
         );
         let client = |client: usize| {
-            let (stop, taken, book, all) =
-                (stop.clone(), taken.clone(), book.clone(), all.to_vec());
+            let (stop, accepted, trace, addresses) = (
+                stop.clone(),
+                accepted.clone(),
+                trace.clone(),
+                addresses.to_vec(),
+            );
             thread::spawn(move || {
-                let mut chance = ChaCha8Rng::seed_from_u64(seed + client as u64);
-                // One instance for each client, as its keys' order is kept there.
-                let instance = client % all.len();
-                for number in 0..MOST {
+                let mut rng = ChaCha8Rng::seed_from_u64(seed + client as u64);
+                // Each client uses a single instance, since the order of its keys is kept per instance.
+                let instance = client % addresses.len();
+                for number in 0..MAX_EVENTS_PER_CLIENT {
                     if stop.load(Ordering::SeqCst) {
                         return;
                     }
-                    let effect = [Effect::Retriable, Effect::Fingerprinted, Effect::Binding]
-                        [chance.random_range(0..3)];
-                    let handed = Handed::new(&format!("c{client}-{number}"), effect);
-                    let handed = handed.waits(Duration::from_secs(1));
-                    let handed = if chance.random() {
-                        handed.key(client as u64)
+                    let idempotency = [
+                        Idempotency::Idempotent,
+                        Idempotency::Deduplicated,
+                        Idempotency::NonIdempotent,
+                    ][rng.random_range(0..3)];
+                    let request = EventRequest::new(&format!("c{client}-{number}"), idempotency);
+                    let request = request.response_timeout(Duration::from_secs(1));
+                    let request = if rng.random() {
+                        request.key(client as u64)
                     } else {
-                        handed
+                        request
                     };
-                    match clients::hand_in(&book, instance, all[instance], &handed) {
-                        Answer::Taken => drop(taken.fetch_add(1, Ordering::SeqCst)),
+                    match clients::submit(&trace, instance, addresses[instance], &request) {
+                        Answer::Accepted => drop(accepted.fetch_add(1, Ordering::SeqCst)),
                         _ => thread::sleep(Duration::from_millis(20)),
                     }
                     thread::sleep(Duration::from_millis(10));
@@ -60,19 +67,20 @@
         let clients = (0..number).map(client).collect();
         Load {
             stop,
-            taken,
+            accepted,
             clients,
         }
     }
 
-    /// Returns once so many more were promised.
-    pub fn until_taken(&self, more: usize) {
-        let before = self.taken.load(Ordering::SeqCst);
-        until("events are taken on", || {
-            self.taken.load(Ordering::SeqCst) >= before + more
+    /// Waits until `more` further events are accepted.
+    pub fn wait_for_accepted(&self, more: usize) {
+        let before = self.accepted.load(Ordering::SeqCst);
+        wait_until("further events are accepted", || {
+            self.accepted.load(Ordering::SeqCst) >= before + more
         });
     }
 
+    /// Stops the clients and waits for them.
     pub fn stop(self) {
         drop(self);
     }
--- a/forwarder/process-tests/src/program.rs
+++ b/forwarder/process-tests/src/program.rs
@@ -1,4 +1,4 @@
-//! The program under test: built once, found beside the stories.
+//! The program under test: built once per test process, into the target directory of the tests.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
@@ -6,18 +6,19 @@
 
 const NAME: &str = "plankhill-forwarder";
 
-/// The built program, or the one that `PLANKHILL_FORWARDER` names. Where the stories alone are tested, nobody has built it, or not from this text.
+/// Returns the path of the program: the one in `PLANKHILL_FORWARDER` if it is set, otherwise the result of a build.
+/// Cargo builds no binary of another package for these tests, and an existing one may be outdated.
 pub fn path() -> &'static Path {
     static BUILT: OnceLock<PathBuf> = OnceLock::new();
     BUILT.get_or_init(|| {
         if let Some(named) = std::env::var_os("PLANKHILL_FORWARDER") {
             return named.into();
         }
-        let story = std::env::current_exe().expect("runs from a file");
-        let profile = story
+        let test_binary = std::env::current_exe().expect("runs from a file");
+        let profile = test_binary
             .parent()
             .and_then(Path::parent)
-            .expect("target/PROFILE/deps/STORY");
+            .expect("target/PROFILE/deps/TEST");
         let target = profile.parent().expect("target/PROFILE");
         let mut build = Command::new(std::env::var_os("CARGO").unwrap_or("cargo".into()));
         build
@@ -41,7 +42,7 @@
         }
         assert!(
             build.status().expect("cargo runs").success(),
-            "{NAME} cannot be built"
+            "cannot build {NAME}"
         );
         profile.join(NAME)
     })
--- a/forwarder/process-tests/src/target.rs
+++ b/forwarder/process-tests/src/target.rs
@@ -1,4 +1,4 @@
-//! A target as all forwarders reach it: each by a door of its own, so that it is known who called.
+//! Test double of a target, with a separate listener for each forwarder, which identifies the caller.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -6,202 +6,209 @@
 use std::thread;
 use std::time::Duration;
 
-use crate::book::{Book, Seen};
+use crate::trace::{Trace, TraceRecord};
 use plankhill_test_relay::ThreadedListener;
 
 use crate::http;
 
-/// How calls are answered.
+/// How a target answers calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
-    /// 200, after so long.
-    Answers(Duration),
-    /// 503: surely not run.
-    Refuses,
-    /// 500: may have run.
-    Errs,
-    /// Not until the manner changes.
-    Hangs,
-    /// The connection breaks in the first line.
-    HalfAnswers,
+pub enum TargetBehavior {
+    /// With 200, after this delay.
+    Respond(Duration),
+    /// With 503: the event was certainly not executed.
+    Reject,
+    /// With 500: the event may have been executed.
+    Fail,
+    /// Not until the behavior changes.
+    Hang,
+    /// With a connection that closes within the status line.
+    TruncateResponse,
 }
 
-struct Desk {
+/// State that the connections of a target share.
+struct TargetState {
     number: usize,
-    book: Book,
-    manner: Mutex<Manner>,
-    /// When each connection was opened, and when its end was seen.
+    trace: Trace,
+    behavior: Mutex<TargetBehavior>,
+    /// For each connection: when it was opened, and when its end was detected.
     connections: Mutex<Vec<(f64, Option<f64>)>>,
 }
 
+/// A running target.
 pub struct Target {
-    desk: Arc<Desk>,
-    doors: Vec<ThreadedListener>,
+    state: Arc<TargetState>,
+    listeners: Vec<ThreadedListener>,
 }
 
 impl Target {
-    pub fn new(number: usize, instances: usize, book: &Book) -> Target {
-        let manner = Mutex::new(Manner::Answers(Duration::ZERO));
-        let desk = Arc::new(Desk {
+    /// Starts a target with a listener for each instance.
+    pub fn new(number: usize, instances: usize, trace: &Trace) -> Target {
+        let behavior = Mutex::new(TargetBehavior::Respond(Duration::ZERO));
+        let state = Arc::new(TargetState {
             number,
-            book: book.clone(),
-            manner,
+            trace: trace.clone(),
+            behavior,
             connections: Mutex::default(),
         });
-        let door = |instance| {
-            let desk = desk.clone();
-            ThreadedListener::open(move |stream| desk.connected(stream, instance))
+        let listener = |instance| {
+            let state = state.clone();
+            ThreadedListener::open(move |stream| state.handle_connection(stream, instance))
         };
-        let doors = (0..instances).map(door).collect();
-        Target { desk, doors }
+        let listeners = (0..instances).map(listener).collect();
+        Target { state, listeners }
     }
 
-    /// The most connections that were open at once, from all instances, idle ones counted.
-    pub fn most_open(&self) -> usize {
+    /// Maximum number of connections, including idle ones, that were open at once from all instances.
+    pub fn max_open_connections(&self) -> usize {
         let all = self
-            .desk
+            .state
             .connections
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner());
+            .unwrap_or_else(|poisoned| poisoned.into_inner());
         let opened = all.iter().map(|(opened, _)| (*opened, 1));
-        let closed = all
-            .iter()
-            .filter_map(|(opened, closed)| Some(((*closed)? - SEEN_LATE).max(*opened)));
+        let closed = all.iter().filter_map(|(opened, closed)| {
+            Some(((*closed)? - MAX_CLOSE_DETECTION_DELAY_MS).max(*opened))
+        });
         let mut changes: Vec<(f64, i32)> = opened.chain(closed.map(|at| (at, -1))).collect();
         changes.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-        let (mut open, mut most) = (0, 0);
+        let (mut open, mut max_open) = (0, 0);
         for (_, change) in changes {
             open += change;
-            most = most.max(open);
+            max_open = max_open.max(open);
         }
-        most as usize
+        max_open as usize
     }
 
+    /// The address of the listener for an instance.
     pub fn address_for(&self, instance: usize) -> SocketAddr {
-        self.doors[instance].address
+        self.listeners[instance].address
     }
 
-    /// From now on, and for the calls that hang.
-    pub fn set(&self, manner: Manner) {
-        *self.desk.manner.lock().unwrap() = manner;
+    /// Sets the behavior for new calls and for those that hang.
+    pub fn set_behavior(&self, behavior: TargetBehavior) {
+        *self.state.behavior.lock().unwrap() = behavior;
     }
 }
 
-/// The end of a connection is seen so much later than it came, at most, in milliseconds: a relay and two threads
-/// stand between.
-const SEEN_LATE: f64 = 300.0;
+/// Maximum delay with which the end of a connection is detected, in milliseconds: a relay and two threads are in
+/// between.
+const MAX_CLOSE_DETECTION_DELAY_MS: f64 = 300.0;
 
-impl Desk {
-    fn connected(&self, stream: TcpStream, instance: usize) {
+impl TargetState {
+    fn handle_connection(&self, stream: TcpStream, instance: usize) {
         let all = || {
             self.connections
                 .lock()
-                .unwrap_or_else(|broken| broken.into_inner())
+                .unwrap_or_else(|poisoned| poisoned.into_inner())
         };
         let number = {
             let mut all = all();
-            all.push((self.book.now(), None));
+            all.push((self.trace.now(), None));
             all.len() - 1
         };
         self.serve(stream, instance);
-        all()[number].1 = Some(self.book.now());
+        all()[number].1 = Some(self.trace.now());
     }
 
     fn serve(&self, stream: TcpStream, instance: usize) {
         let mut from = BufReader::new(stream);
-        let mut last = None;
-        while http::begins(&mut from) {
-            let at = self.book.now();
+        let mut last_call = None;
+        while http::has_next_message(&mut from) {
+            let at = self.trace.now();
             let Ok(message) = http::read(&mut from) else {
                 break;
             };
-            let served = match message.is("POST /receive ") {
+            let keep_open = match message.starts_with("POST /receive ") {
                 true => {
-                    let call = self.book.call();
-                    last = Some(call);
-                    self.call(&mut from, &message, instance, (call, at))
+                    let call = self.trace.next_call_number();
+                    last_call = Some(call);
+                    self.handle_call(&mut from, &message, instance, (call, at))
                 }
-                false => self.ping(&mut from),
+                false => self.answer_health_check(&mut from),
             };
-            if !served {
+            if !keep_open {
                 break;
             }
         }
-        // Whoever gives up a call ends its connection.
-        last.into_iter()
-            .for_each(|call| self.book.note(Seen::Gone { call }));
+        // A forwarder that gives up a call closes its connection.
+        last_call
+            .into_iter()
+            .for_each(|call| self.trace.record(TraceRecord::ConnectionClosed { call }));
     }
 
-    fn manner(&self) -> Manner {
+    fn behavior(&self) -> TargetBehavior {
         *self
-            .manner
+            .behavior
             .lock()
-            .unwrap_or_else(|broken| broken.into_inner())
+            .unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    fn ping(&self, from: &mut BufReader<TcpStream>) -> bool {
-        let status = if matches!(self.manner(), Manner::Answers(_)) {
+    fn answer_health_check(&self, from: &mut BufReader<TcpStream>) -> bool {
+        let status = if matches!(self.behavior(), TargetBehavior::Respond(_)) {
             200
         } else {
             503
         };
-        http::answer(from.get_mut(), status, "", "").is_ok()
+        http::write_response(from.get_mut(), status, "", "").is_ok()
     }
 
-    /// Whether the connection goes on.
-    fn call(
+    /// Records and answers a call; returns whether the connection stays open.
+    fn handle_call(
         &self,
         from: &mut BufReader<TcpStream>,
         message: &http::Message,
         instance: usize,
         (call, at): (u64, f64),
     ) -> bool {
-        let id = message.field("Req-Id").expect("each call has one");
-        let waits = message
+        let id = message.field("Req-Id").expect("each call has an id");
+        let timeout_s = message
             .field("Req-Deadline")
             .and_then(|seconds| seconds.parse::<f64>().ok());
-        let event = self.book.event(id);
-        let time_out = waits.expect("each call tells how long its forwarder waits") * 1000.0;
-        self.book.note_at(
+        let event = self.trace.event_number(id);
+        let timeout =
+            timeout_s.expect("each call has the time for which its forwarder waits") * 1000.0;
+        self.trace.record_at(
             at,
-            Seen::Began {
+            TraceRecord::CallStarted {
                 call,
                 instance,
                 event,
                 target: self.number,
-                time_out,
+                timeout,
             },
         );
-        self.book.note(Seen::Whole { call });
-        let mut manner = self.manner();
-        let waits = |manner: Manner, at: f64| match manner {
-            Manner::Hangs => true,
-            Manner::Answers(after) => self.book.now() < at + after.as_secs_f64() * 1000.0,
+        self.trace.record(TraceRecord::CallReceived { call });
+        let mut behavior = self.behavior();
+        let must_wait = |behavior: TargetBehavior, at: f64| match behavior {
+            TargetBehavior::Hang => true,
+            TargetBehavior::Respond(after) => self.trace.now() < at + after.as_secs_f64() * 1000.0,
             _ => false,
         };
         loop {
-            if http::is_gone(from.get_ref()) {
+            if http::is_closed(from.get_ref()) {
                 return false;
             }
-            if !waits(manner, at) {
+            if !must_wait(behavior, at) {
                 break;
             }
             thread::sleep(Duration::from_millis(2));
-            if manner == Manner::Hangs {
-                manner = self.manner();
+            if behavior == TargetBehavior::Hang {
+                behavior = self.behavior();
             }
         }
-        let status = match manner {
-            Manner::Answers(_) => 200,
-            Manner::Refuses => 503,
-            Manner::Errs => 500,
-            Manner::Hangs | Manner::HalfAnswers => {
+        let status = match behavior {
+            TargetBehavior::Respond(_) => 200,
+            TargetBehavior::Reject => 503,
+            TargetBehavior::Fail => 500,
+            TargetBehavior::Hang | TargetBehavior::TruncateResponse => {
                 let _ = from.get_mut().write_all(b"HTTP/1.1 20");
                 return false;
             }
         };
-        // Noted before it is written: what follows from it is seen after it.
-        self.book.note(Seen::Replied { call, status });
-        http::answer(from.get_mut(), status, "", "").is_ok()
+        // Recorded before the answer is written, so that its consequences are recorded later.
+        self.trace
+            .record(TraceRecord::CallAnswered { call, status });
+        http::write_response(from.get_mut(), status, "", "").is_ok()
     }
 }
--- a/forwarder/process-tests/tests/broadcasts.rs
+++ b/forwarder/process-tests/tests/broadcasts.rs
@@ -1,108 +1,123 @@
-//! Several instances with lists: a broadcast counts once, wherever it is handed in, and each of its copies has
-//! one end.
+//! Broadcasts with several instances: a broadcast takes effect once, whichever instance it is submitted to, and each of
+//! its copies is completed once.
 
 use std::time::Duration;
 
 use plankhill_process_tests::*;
 
-/// What the leader of the control group logs once the third voter is in.
+/// Log text of the control group's leader once the third voter has joined.
 const ALL_VOTERS: &str = "control group voters changed, voters: 3";
 
-const ONCE: Copy = Copy {
-    sends: 1,
+const DELIVERED_ONCE: CopyOutcome = CopyOutcome {
+    calls: 1,
     delivered: 1,
-    noticed: 0,
+    notified: 0,
 };
 
 #[test]
-fn a_broadcast_reaches_each_destination_once_wherever_it_is_handed_in() {
-    let world = World::broadcasting(3);
+fn a_broadcast_reaches_each_destination_once_from_any_instance() {
+    let cluster = Cluster::broadcasting(3);
     for instance in 0..3 {
         let id = format!("from-{instance}");
         assert_eq!(
-            world.broadcast(instance, "charge", &id, None),
-            Answer::Taken
+            cluster.broadcast(instance, "charge", &id, None),
+            Answer::Accepted
         );
-        world.until_ended(&id);
-        // Elsewhere, under the same id, it is none.
+        cluster.wait_until_completed(&id);
+        // Another instance rejects a broadcast with the same id.
         assert_eq!(
-            world.broadcast((instance + 1) % 3, "charge", &id, None),
-            Answer::Refused
+            cluster.broadcast((instance + 1) % 3, "charge", &id, None),
+            Answer::Rejected
         );
-        assert_eq!(world.copies(&id), [ONCE; 2]);
+        assert_eq!(cluster.copy_outcomes(&id), [DELIVERED_ONCE; 2]);
     }
 }
 
 #[test]
-fn what_is_asked_for_wrongly_is_refused_and_where_no_lists_are_it_is_no_path() {
-    let world = World::broadcasting(3);
-    assert_eq!(world.ask(0, "none/job", "a", None), Some(404));
-    assert_eq!(world.ask(0, "all/none", "a", None), Some(404));
-    assert_eq!(world.ask(0, "all", "a", None), Some(404));
-    assert_eq!(world.ask(0, "all/job", &"a".repeat(108), None), Some(400));
-    let without = World::started(1);
-    assert_eq!(without.ask(0, "all/job", "a", None), Some(404));
+fn invalid_broadcast_requests_are_rejected_and_without_lists_the_path_is_unknown() {
+    let cluster = Cluster::broadcasting(3);
+    assert_eq!(
+        cluster.request_broadcast(0, "none/job", "a", None),
+        Some(404)
+    );
+    assert_eq!(
+        cluster.request_broadcast(0, "all/none", "a", None),
+        Some(404)
+    );
+    assert_eq!(cluster.request_broadcast(0, "all", "a", None), Some(404));
+    assert_eq!(
+        cluster.request_broadcast(0, "all/job", &"a".repeat(108), None),
+        Some(400)
+    );
+    let without = Cluster::started(1);
+    assert_eq!(
+        without.request_broadcast(0, "all/job", "a", None),
+        Some(404)
+    );
 }
 
-/// Hands in broadcasts one after another until each subscriber got one of them just once.
-fn until_delivered_to_all(world: &World, part: &str, by: impl Fn(usize) -> usize) {
+/// Submits broadcasts one after another until one of them is delivered exactly once to each subscriber.
+fn wait_for_delivery_to_all(cluster: &Cluster, part: &str, by: impl Fn(usize) -> usize) {
     let mut number = 0;
-    until("a broadcast is delivered to all again", || {
+    wait_until("a broadcast is delivered to all subscribers", || {
         number += 1;
         let id = format!("{part}-{number}");
-        if world.broadcast(by(number), "job", &id, None) != Answer::Taken {
+        if cluster.broadcast(by(number), "job", &id, None) != Answer::Accepted {
             return false;
         }
-        world.until_ended(&id);
-        world.copies(&id) == [ONCE; 2]
+        cluster.wait_until_completed(&id);
+        cluster.copy_outcomes(&id) == [DELIVERED_ONCE; 2]
     });
 }
 
 #[test]
-fn killed_and_started_again_no_copy_is_missing_and_no_binding_one_doubled() {
-    let mut world = World::broadcasting(3);
-    world.set_targets(Manner::Answers(Duration::from_millis(20)));
-    let mut promised = Vec::new();
+fn after_kills_and_restarts_no_copy_is_missing_and_no_non_idempotent_one_is_repeated() {
+    let mut cluster = Cluster::broadcasting(3);
+    cluster.set_target_behavior(TargetBehavior::Respond(Duration::from_millis(20)));
+    let mut accepted = Vec::new();
     for round in 0..3 {
-        let hand_in = |world: &World, promised: &mut Vec<String>, part: &str| {
+        let submit_batch = |cluster: &Cluster, accepted: &mut Vec<String>, part: &str| {
             for number in 0..10 {
                 let id = format!("{part}-{round}-{number}");
                 let by = (round + 1 + number % 2) % 3;
-                if world.broadcast(by, "charge-in-order", &id, Some(7)) == Answer::Taken {
-                    promised.push(id);
+                if cluster.broadcast(by, "charge-in-order", &id, Some(7)) == Answer::Accepted {
+                    accepted.push(id);
                 }
             }
         };
-        hand_in(&world, &mut promised, "before");
-        world.kill(round);
-        hand_in(&world, &mut promised, "meanwhile");
-        world.start(round);
-        world.until_broadcasts(round);
-        hand_in(&world, &mut promised, "after");
+        submit_batch(&cluster, &mut accepted, "before");
+        cluster.kill(round);
+        submit_batch(&cluster, &mut accepted, "meanwhile");
+        cluster.start(round);
+        cluster.wait_until_broadcasting(round);
+        submit_batch(&cluster, &mut accepted, "after");
     }
-    assert!(promised.len() > 30, "{} taken", promised.len());
-    for id in &promised {
-        world.until_ended(id);
-        for copy in world.copies(id) {
-            assert!(copy.sends <= 1, "{id}: {copy:?}");
+    assert!(accepted.len() > 30, "{} accepted", accepted.len());
+    for id in &accepted {
+        cluster.wait_until_completed(id);
+        for copy in cluster.copy_outcomes(id) {
+            assert!(copy.calls <= 1, "{id}: {copy:?}");
         }
     }
-    // How many make it hangs on how long each start takes; that all serve again does not.
+    // The number of delivered broadcasts depends on the duration of each start; that some are delivered, and that all
+    // instances serve again, does not.
     assert!(
-        promised.iter().any(|id| world.copies(id) == [ONCE; 2]),
+        accepted
+            .iter()
+            .any(|id| cluster.copy_outcomes(id) == [DELIVERED_ONCE; 2]),
         "none of {} delivered",
-        promised.len()
+        accepted.len()
     );
-    until_delivered_to_all(&world, "at-last", |number| number % 3);
+    wait_for_delivery_to_all(&cluster, "at-last", |number| number % 3);
 }
 
 #[test]
-fn when_an_instance_is_lost_others_serve_its_subscribers() {
-    let mut world = World::broadcasting(3);
-    // Of a control group with two voters the loss of one leaves no majority.
-    until("the control group has three voters", || {
-        (0..3).any(|instance| world.process(instance).said(ALL_VOTERS) > 0)
+fn other_instances_serve_the_subscribers_of_a_lost_instance() {
+    let mut cluster = Cluster::broadcasting(3);
+    // With only two voters in the control group, the loss of one would leave no majority.
+    wait_until("the control group has three voters", || {
+        (0..3).any(|instance| cluster.process(instance).log_count(ALL_VOTERS) > 0)
     });
-    world.kill(0);
-    until_delivered_to_all(&world, "without", |number| 1 + number % 2);
+    cluster.kill(0);
+    wait_for_delivery_to_all(&cluster, "without", |number| 1 + number % 2);
 }
--- a/forwarder/process-tests/tests/upgrades.rs
+++ b/forwarder/process-tests/tests/upgrades.rs
@@ -1,4 +1,4 @@
-//! A new version on each of several forwarders, while clients send and parts fail.
+//! Upgrades of several forwarders under load and faults.
 
 use std::time::Duration;
 
@@ -6,50 +6,52 @@
 use rstest::rstest;
 
 #[rstest]
-fn new_versions_take_over_under_load_with_links_that_break() {
-    let mut world = World::started(3);
-    world.set_targets(Manner::Answers(Duration::from_millis(20)));
-    let load = world.load(31, 6);
+fn successors_take_over_under_load_with_failing_links() {
+    let mut cluster = Cluster::started(3);
+    cluster.set_target_behavior(TargetBehavior::Respond(Duration::from_millis(20)));
+    let load = cluster.load(31, 6);
     for instance in 0..3 {
-        load.until_taken(40);
-        world.fault(instance, |it| {
-            it.links()
+        load.wait_for_accepted(40);
+        cluster.inject_link_fault(instance, |faulty| {
+            faulty
+                .links()
                 .for_each(|link| link.truncate_next(Direction::Back, 20))
         });
-        let elder = world.instances[instance].process.start_another();
-        load.until_taken(20);
-        elder.waited();
-        world.heal(instance);
-        load.until_taken(20);
+        let predecessor = cluster.instances[instance].process.start_successor();
+        load.wait_for_accepted(20);
+        predecessor.wait_for_exit();
+        cluster.heal(instance);
+        load.wait_for_accepted(20);
     }
     load.stop();
-    world.verdict();
+    cluster.check_invariants();
 }
 
-/// Guards the moment at which two processes know of the same events, whoever of them dies in it.
+/// During a takeover, two processes have the same events; the loss of either of them must lose no event.
 #[rstest]
-#[case::the_old_one(true)]
-#[case::the_new_one(false)]
-fn one_of_two_versions_killed_while_one_takes_over_nothing_is_lost(#[case] old: bool) {
-    let mut world = World::started(3);
-    world.set_targets(Manner::Answers(Duration::from_millis(20)));
-    let load = world.load(32, 6);
+#[case::predecessor(true)]
+#[case::successor(false)]
+fn no_event_is_lost_if_either_process_is_killed_during_a_takeover(#[case] kill_predecessor: bool) {
+    let mut cluster = Cluster::started(3);
+    cluster.set_target_behavior(TargetBehavior::Respond(Duration::from_millis(20)));
+    let load = cluster.load(32, 6);
     for instance in 0..3 {
-        load.until_taken(40);
-        world.hinder(instance);
-        let elder = world.instances[instance].process.start_another();
-        load.until_taken(instance * 10);
-        if old {
-            drop(elder);
+        load.wait_for_accepted(40);
+        cluster.mark_impaired(instance);
+        let predecessor = cluster.instances[instance].process.start_successor();
+        load.wait_for_accepted(instance * 10);
+        if kill_predecessor {
+            drop(predecessor);
         } else {
-            world.instances[instance].process.kill();
-            // It goes on, or has handed over already: then the folder is left to the next.
-            drop(elder);
-            world.launch(instance);
+            cluster.instances[instance].process.kill();
+            // The predecessor is killed as well, whether or not it has already handed over, so that the next process
+            // starts alone from the directory.
+            drop(predecessor);
+            cluster.launch(instance);
         }
-        world.until_up(instance);
+        cluster.wait_until_ready(instance);
     }
-    load.until_taken(40);
+    load.wait_for_accepted(40);
     load.stop();
-    world.verdict();
+    cluster.check_invariants();
 }
