--- a/forwarder/process-tests/src/discovery.rs
+++ b/forwarder/process-tests/src/discovery.rs
@@ -14,6 +14,7 @@
 
 use crate::http;
 
+/// A target in the list.
 struct Member {
     cell: u64,
     phase: &'static str,
@@ -21,6 +22,7 @@
     addresses: Vec<SocketAddr>,
 }
 
+/// The current list and the behavior of discovery.
 struct State {
     revision: u64,
     members: Vec<Member>,
@@ -29,6 +31,7 @@
     rejects_notifications: bool,
 }
 
+/// The agent, shared by the listeners of all instances.
 struct Agent {
     trace: Trace,
     state: Mutex<State>,
@@ -90,7 +93,7 @@
         state
             .acknowledged_revisions
             .iter()
-            .all(|acknowledged_revisions| *acknowledged_revisions >= state.revision)
+            .all(|acknowledged| *acknowledged >= state.revision)
     }
 
     /// The current list with the addresses for an instance.
@@ -141,13 +144,13 @@
             return 500;
         }
         for line in String::from_utf8_lossy(&message.body).lines() {
-            let notice: Value = serde_json::from_str(line).expect("one JSON value per line");
+            let notification: Value = serde_json::from_str(line).expect("one JSON value per line");
             let event = self
                 .trace
-                .event_number(notice["message"].as_str().expect("an id"));
+                .event_number(notification["message"].as_str().expect("an id"));
             self.trace.record(TraceRecord::NotificationReceived {
                 event,
-                is_abandoned: notice["outcome"] == "given_up",
+                is_abandoned: notification["outcome"] == "given_up",
             });
         }
         204
--- a/forwarder/process-tests/tests/broadcasts.rs
+++ b/forwarder/process-tests/tests/broadcasts.rs
@@ -99,8 +99,8 @@
             assert!(copy.calls <= 1, "{id}: {copy:?}");
         }
     }
-    // The number of delivered broadcasts depends on the duration of each start; that some are delivered, and that all
-    // instances serve again, does not.
+    // The number of delivered broadcasts depends on the duration of each start; the two checks
+    // below do not depend on it.
     assert!(
         accepted
             .iter()
--- a/forwarder/process-tests/tests/connection_budgets.rs
+++ b/forwarder/process-tests/tests/connection_budgets.rs
@@ -73,7 +73,7 @@
 #[case::killed(Cluster::kill, Cluster::start)]
 #[case::suspended(Cluster::suspend, Cluster::resume)]
 #[case::isolated(Cluster::isolate, Cluster::heal)]
-fn the_budget_holds_during_a_fault(
+fn the_budget_is_not_exceeded_during_a_fault(
     #[case] fault: fn(&mut Cluster, usize),
     #[case] recover: fn(&mut Cluster, usize),
     #[values(0, 2)] instance: usize,
--- a/forwarder/process-tests/tests/replication/machine_losses.rs
+++ b/forwarder/process-tests/tests/replication/machine_losses.rs
@@ -101,13 +101,13 @@
     cluster.kill(1);
     wait_until("n2 accepts nothing without a quorum", || {
         let id = format!("alone-{:.0}", cluster.trace.now());
-        let alone = EventRequest::new(&id, Idempotency::Idempotent)
+        let event = EventRequest::new(&id, Idempotency::Idempotent)
             .response_timeout(Duration::from_secs(1));
-        cluster.submit(2, &alone) != Answer::Accepted
+        cluster.submit(2, &event) != Answer::Accepted
     });
-    let alone = EventRequest::new("alone", Idempotency::Idempotent)
+    let event = EventRequest::new("alone", Idempotency::Idempotent)
         .response_timeout(Duration::from_secs(3));
-    assert_ne!(cluster.submit(2, &alone), Answer::Accepted);
+    assert_ne!(cluster.submit(2, &event), Answer::Accepted);
     cluster.set_target_behavior(IMMEDIATE);
     cluster.start_instances(&[0, 1]);
     (0..3).for_each(|instance| cluster.wait_until_accepting(instance));
--- a/forwarder/process-tests/tests/replication/state_directories.rs
+++ b/forwarder/process-tests/tests/replication/state_directories.rs
@@ -92,10 +92,10 @@
     let big = |number: usize| {
         EventRequest::new(&format!("big-{number}"), Idempotency::Idempotent).body(60_000)
     };
-    let taken = (0..60)
+    let accepted = (0..60)
         .take_while(|number| cluster.submit(0, &big(*number)) == Answer::Accepted)
         .count();
-    assert!((1..60).contains(&taken), "{taken} were accepted");
+    assert!((1..60).contains(&accepted), "{accepted} were accepted");
     cluster.set_target_behavior(crate::IMMEDIATE);
     cluster.check_invariants();
 }
--- a/forwarder/process-tests/tests/standalone.rs
+++ b/forwarder/process-tests/tests/standalone.rs
@@ -192,10 +192,10 @@
     let big = |number: usize| {
         EventRequest::new(&format!("big-{number}"), Idempotency::NonIdempotent).body(9_000)
     };
-    let taken = (0..40)
+    let accepted = (0..40)
         .take_while(|number| cluster.submit(0, &big(*number)) == Answer::Accepted)
         .count();
-    assert!((1..40).contains(&taken), "{taken} were accepted");
+    assert!((1..40).contains(&accepted), "{accepted} were accepted");
     cluster.kill(0);
     cluster.set_target_behavior(TargetBehavior::Respond(Duration::ZERO));
     cluster.start(0);
@@ -235,8 +235,8 @@
     cluster.check_invariants();
 }
 
-/// An instance must remember a target's drain after a restart of its process, even if discovery is unreachable then,
-/// and after a suspension.
+/// An instance must retain the draining state of a target after a suspension and after a restart of its process, even
+/// if discovery is unreachable during the restart.
 #[rstest]
 fn no_new_call_goes_to_a_draining_target_after_a_kill_or_a_suspension() {
     let mut cluster = Cluster::started(3);
--- a/tier/validation/src/fault.rs
+++ b/tier/validation/src/fault.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// The key under which a fault of the whole document is listed.
-const WHOLE_DOCUMENT: &str = "document";
+/// The key of a fault that concerns the entire document.
+const DOCUMENT_KEY: &str = "document";
 
 /// A fault in the value of one key. Ordered by key, then by message.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -27,7 +27,7 @@
     pub fn at_path(path: &serde_path_to_error::Path, message: impl fmt::Display) -> Self {
         let path = path.to_string();
         let key = if path == "." {
-            WHOLE_DOCUMENT.to_owned()
+            DOCUMENT_KEY.to_owned()
         } else {
             path
         };
--- a/tier/validation/src/flatten.rs
+++ b/tier/validation/src/flatten.rs
@@ -5,7 +5,7 @@
 use crate::{Fault, Faults};
 
 /// The field name under which `validator` reports struct-level errors.
-const WHOLE_STRUCT: &str = "__all__";
+const STRUCT_LEVEL_FIELD: &str = "__all__";
 
 /// Lists every error of `errors` under the path of its key, sorted by that path and then by the
 /// message.
@@ -39,7 +39,7 @@
 fn join(parent: &str, name: &str) -> String {
     if parent.is_empty() {
         name.to_owned()
-    } else if name == WHOLE_STRUCT {
+    } else if name == STRUCT_LEVEL_FIELD {
         parent.to_owned()
     } else {
         format!("{parent}.{name}")
