--- a/forwarder/process-tests/src/replication.rs
+++ b/forwarder/process-tests/src/replication.rs
@@ -49,8 +49,8 @@
             .count()
     }
 
-    /// Waits until another instance has adopted the event log of `lost`, and returns that instance. `before`: the number
-    /// of adoptions of each instance before the loss.
+    /// Waits until another instance has adopted the event log of `lost`, and returns that instance. `before`: the
+    /// number of adoptions of each instance before the loss.
     pub fn wait_for_successor(&self, lost: usize, before: &[usize]) -> usize {
         let mut successor = None;
         wait_until(&format!("n{lost} has a successor"), || {
--- a/forwarder/process-tests/tests/planted_faults.rs
+++ b/forwarder/process-tests/tests/planted_faults.rs
@@ -110,7 +110,8 @@
     assert_eq!(violated, expected);
 }
 
-/// Without replication, the loss of a disk loses accepted events; the check of a trace of real processes must report it.
+/// Without replication, the loss of a disk loses accepted events; the check of a trace of real processes must
+/// report it.
 #[rstest]
 fn a_loss_of_state_without_replication_is_reported() {
     let mut cluster = Cluster::started(1);
