--- a/forwarder/hot-restart/src/handshake.rs
+++ b/forwarder/hot-restart/src/handshake.rs
@@ -1,6 +1,9 @@
-//! The handshake of the two processes, without I/O. Exactly one of them makes decisions at any
-//! moment: the predecessor until it has transferred ownership of the forwarder to the successor, the
-//! successor from the change of owner on, which is one write to the event log.
+//! The handshake of the two processes, without I/O. At most one of them makes decisions at any
+//! moment: the predecessor until it pauses, the successor from the change of owner on, which is one
+//! write to the event log. A predecessor resumes if the successor does not become the owner.
+//!
+//! The messages of a successful handshake are, in order, `Hello`, `State`, `Prepared`, `Ownership`
+//! and `Activated` of [`Message`](crate::Message).
 //!
 //! Called by `forwarder/server` (`hot_restart::predecessor`, `hot_restart::successor`), which
 //! carries out the actions.
--- a/forwarder/server/src/event_loop/handover.rs
+++ b/forwarder/server/src/event_loop/handover.rs
@@ -1,6 +1,6 @@
 //! Handover to a successor process (hot restart): the loop pauses and passes on a snapshot of its
 //! state, and then resumes, relays or ends. `hot_restart::predecessor` requests the handover. The
-//! loop keeps its state until the successor has begun.
+//! loop keeps its state until the successor makes decisions.
 
 use std::time::Instant;
 
--- a/forwarder/server/src/hot_restart/predecessor.rs
+++ b/forwarder/server/src/hot_restart/predecessor.rs
@@ -23,8 +23,8 @@
 
 /// Time limit for the hello of a new process, which sends it immediately.
 const HELLO_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time limit for a pause of the event loop while a successor makes no progress: well under the
-/// timeout of a client.
+/// Time limit from the pause of the event loop until the successor reports that it is prepared:
+/// well under the timeout of a client. Without that report the event loop resumes.
 const PREPARE_TIMEOUT: Duration = Duration::from_millis(250);
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 /// Limit of queued messages to the successor, and of those from it.
--- a/forwarder/server/src/server.rs
+++ b/forwarder/server/src/server.rs
@@ -183,7 +183,8 @@
         let listening = admin_listener::listen(context.clone(), listener, to_event_loop.clone());
         executor.spawn(listening)
     });
-    // Before the handover is requested: no process decides while one takes over from the other.
+    // Loaded before the handover is requested, since no process makes decisions during the
+    // handover.
     let initial = watch::load_initial(&context, known_endpoints).await;
     let clients = Clients::new(context.clone(), to_event_loop.clone());
     let opened = open(&context, &clients, &mailboxes, &initial, state).await?;
