--- a/forwarder/replication/src/adoption.rs
+++ b/forwarder/replication/src/adoption.rs
@@ -1,6 +1,6 @@
-//! What a successor does with each pending event of a group that it was elected to lead. The event's records
-//! are its only information: they do not show whether an attempt that was in flight when the owner was lost
-//! has ended.
+//! What a successor, the instance that a group elects after the loss of its owner, does with each pending event
+//! of the group. The event's records are all that the successor has of the owner's state: they do not show
+//! whether an attempt that was in flight when the owner was lost has ended.
 //!
 //! The forwarder's event loop calls [`plan_adoption`] for each event when a group has elected its instance.
 
@@ -13,7 +13,7 @@
     Unknown,
     /// The event is pending here in another group's log.
     Pending,
-    /// An attempt of its own is still in flight, from a time when it led the group before.
+    /// An attempt of the successor itself is still in flight, from a time when it led the group before.
     OwnAttemptInFlight,
     /// An event of that id was completed here, or its outcome is being reported.
     Completed,
@@ -28,8 +28,8 @@
         /// attempted before then, in milliseconds on the clock of `now`.
         in_flight_until: Option<f64>,
     },
-    /// Merges the event with the pending one of the same id: the attempts of both are added up, and so are
-    /// the waits.
+    /// Merges the event with the pending one of the same id: the attempts of both are added up, and the event
+    /// waits for the attempts of both.
     Merge {
         /// As in [`AdoptionAction::Restore`].
         in_flight_until: Option<f64>,
@@ -37,7 +37,7 @@
     /// Reports the outcome again, with the time after which the client may submit the event again (in
     /// milliseconds).
     NotifyAgain(Outcome, Option<f64>),
-    /// Awaits the result of its own attempt: no other instance had one in flight.
+    /// Awaits the result of the successor's own attempt: no other instance had one in flight.
     AwaitOwnAttempt,
     /// Completes the record: the event already has its outcome.
     Discard,
--- a/forwarder/replication/src/lib.rs
+++ b/forwarder/replication/src/lib.rs
@@ -1,7 +1,11 @@
 //! Replication of the forwarder's event log: losing a machine with its disk loses no event that was accepted.
 //!
-//! The event log of a forwarder is the log of a Raft group (`plankhill-raft-groups`). This package makes the
-//! decisions, without I/O and without a clock; the forwarder's event loop calls it and carries the decisions out:
+//! The event log of a forwarder is the log of a Raft group (`plankhill-raft-groups`). The instance that leads the group
+//! is the owner of the events in it: it alone attempts them, and only while it holds the group's lease. If the owner is
+//! lost, the group elects another instance, the successor, which adopts the pending events.
+//!
+//! This package makes the decisions, without I/O and without a clock; the forwarder's event loop calls it and carries
+//! the decisions out:
 //!
 //! | module | decides |
 //! | --- | --- |
--- a/forwarder/replication/src/pipeline.rs
+++ b/forwarder/replication/src/pipeline.rs
@@ -1,5 +1,5 @@
 //! Decides when the effects of an event loop iteration are released. An iteration's records are one proposal
-//! to each group that they belong to. Its effects (answers, attempts, notices) are retained until these
+//! to each group that they belong to. Its effects (responses, commands, notices) are retained until these
 //! proposals and those of all earlier iterations are committed or discarded, so that effects are released in
 //! the order in which they were decided. The event loop continues meanwhile, up to a bound.
 
--- a/forwarder/replication/src/proposals.rs
+++ b/forwarder/replication/src/proposals.rs
@@ -1,6 +1,6 @@
 //! Requests to the Raft groups that are not submitted yet: commands are numbered for each group, and all
-//! requests wait in order while the ring to the Raft thread is full. The forwarder's event loop owns the
-//! queue.
+//! requests wait in order while the ring to the groups thread (`plankhill-raft-groups`) is full. The
+//! forwarder's event loop owns the queue.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -12,7 +12,7 @@
 /// Bytes of frames past which a command is split. A single frame may exceed this by one event's body.
 pub const MAX_COMMAND_BYTES: usize = 4 << 20;
 
-/// Requests that the Raft thread has not taken yet.
+/// Requests that are not in the ring to the groups thread yet.
 #[derive(Default)]
 pub struct ProposalQueue {
     /// The number of each group's last command.
@@ -71,7 +71,7 @@
         true
     }
 
-    /// Drops the group's commands that were not submitted. They surely are never committed. Returns their
+    /// Drops the group's commands that were not submitted. They are certainly never committed. Returns their
     /// numbers, which are assigned again.
     pub fn withdraw(&mut self, group: GroupId) -> Vec<u64> {
         let mut withdrawn = Vec::new();
--- a/forwarder/replication/src/state_machine.rs
+++ b/forwarder/replication/src/state_machine.rs
@@ -1,6 +1,6 @@
 //! The state machine of an event log's group: each replica keeps the [`EventTable`] that results from the
-//! owner's records, and the owner. Only the Raft thread changes a replica; the forwarder's event loop reads
-//! all replicas of its process through [`LocalReplicas`].
+//! owner's records, and the owner. Only the groups thread (`plankhill-raft-groups`) changes a replica; the
+//! forwarder's event loop reads all replicas of its process through [`LocalReplicas`].
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 
