--- a/forwarder/raft-groups/src/ids.rs
+++ b/forwarder/raft-groups/src/ids.rs
@@ -35,7 +35,8 @@
 /// The purpose of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Purpose {
-    /// The event log of one forwarder, replicated on the forwarder and its replicas. The leading instance owns the log.
+    /// The event log of one forwarder, replicated on that forwarder and on other instances. The instance that leads the
+    /// group owns the log.
     EventLog,
     /// The only group of the whole fleet: connection quotas or subscriber lists. All instances receive its log.
     Control,
--- a/forwarder/raft-groups/src/leases.rs
+++ b/forwarder/raft-groups/src/leases.rs
@@ -1,5 +1,5 @@
-//! The expiry of this instance's lease on each group. The groups thread writes the leases; the event loop checks them
-//! before it acts on the data of a group.
+//! The expiry of this instance's lease on each group. While the instance holds the lease, no other instance can lead
+//! the group. The groups thread writes the leases; the event loop checks them before it acts on the data of a group.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/forwarder/raft-groups/src/requests.rs
+++ b/forwarder/raft-groups/src/requests.rs
@@ -6,7 +6,7 @@
 /// A request from the event loop to the groups thread.
 #[derive(Debug)]
 pub enum GroupRequest {
-    /// Founds a group with this instance as its first leader and with voters chosen by
+    /// Founds a group with this instance as its first leader. The voters of an event log's group are chosen by
     /// [`crate::placement::rank_voters`]. [`GroupEvent::Elected`] follows once a majority is reachable.
     Create {
         /// The purpose of the group.
@@ -49,8 +49,9 @@
         /// committed.
         state: Vec<u8>,
     },
-    /// Another instance may lead the group. Proposals that are not answered yet remain open until their outcome is
-    /// decided.
+    /// Another instance may lead the group, or the group was removed from this instance. In the second case, the event
+    /// is also sent for a group that this instance never led. Proposals that are not answered yet remain open until
+    /// their outcome is decided.
     Deposed {
         /// The group.
         group: GroupId,
