--- a/forwarder/connection-quotas/src/leases/mod.rs
+++ b/forwarder/connection-quotas/src/leases/mod.rs
@@ -1,5 +1,10 @@
 //! Leases on shares of quotas: a table that is built from a replicated log, an issuer on the leader, and holders. None
-//! of them reads a clock: the caller passes the time of a local monotonic clock, in milliseconds.
+//! of them reads a clock: the caller passes the time of a local monotonic clock, in milliseconds. These leases are
+//! unrelated to the lease that the leader of a Raft group holds on the group.
+//!
+//! The path of a lease: the holder sends a [`Report`] of its demands to the leader, whose issuer proposes a [`Grant`].
+//! Once the control group has committed the grant, every instance adds the lease to its table, and the holder takes
+//! over the shares. Each later report requests the next lease.
 //!
 //! The sum of connections that may be open stays within a quota, whatever messages or processes are lost, because:
 //! - For each instance the table counts the maximum over all leases that the instance may still hold and its standing
--- a/forwarder/connection-quotas/src/lib.rs
+++ b/forwarder/connection-quotas/src/lib.rs
@@ -1,8 +1,9 @@
 //! Connection quotas of targets.
 //!
 //! A policy, written in a small policy language, limits how many connections all forwarders of a fleet together may
-//! hold to a target, and how these are divided over members (kinds of clients) and forwarders. `docs/pools.md` is the
-//! reference of the language.
+//! hold to a target, and how these are divided over members (kinds of clients) and forwarders. A pool is the set of
+//! connections that one quota limits: those to one target, or those to all targets of a destination. `docs/pools.md` is
+//! the reference of the language.
 //!
 //! | module | job |
 //! | --- | --- |
@@ -12,7 +13,8 @@
 //! | [`local`] | one forwarder's state: connections that are open, and connections that may be open |
 //!
 //! The crate does no I/O, starts no threads and reads no clock. The forwarder's server does: it owns a
-//! [`local::LocalQuotas`], sends its encoded messages to the control group's log, and passes in the current time.
+//! [`local::LocalQuotas`], sends its encoded messages to the control group, and passes in the current time. The control
+//! group is the Raft group whose log all instances of the fleet receive (`plankhill-raft-groups`).
 
 pub mod language;
 pub mod leases;
--- a/forwarder/connection-quotas/src/split/mod.rs
+++ b/forwarder/connection-quotas/src/split/mod.rs
@@ -21,7 +21,7 @@
     pub members: Vec<u32>,
     /// Connections for health checks and trials.
     pub trials: u32,
-    /// Connections that the forwarder min even without a lease.
+    /// Standing share: connections that the forwarder has even without a lease.
     pub standing: u32,
     /// Whether the forwarder is in the zone of the pool's target.
     pub is_near: bool,
@@ -144,7 +144,7 @@
 }
 
 /// The members' shares: each member gets what it wants out of its own share, then unused connections are lent.
-/// `standing` is the number of connections that each member min without a lease.
+/// `standing` is the number of connections that each member has without a lease.
 fn split_over_members(terms: &PoolTerms, free: u32, standing: &[u32], wanted: &[u32]) -> Vec<u32> {
     let members = || terms.members.iter().zip(standing);
     let claims = members().map(|(member, standing)| Claim {
