--- a/forwarder/server/src/clients/connection.rs
+++ b/forwarder/server/src/clients/connection.rs
@@ -253,8 +253,8 @@
         let gate_shut = async {
             self.context.client_gate.wait_until_shut().await;
             if wait.reason == WaitReason::FirstRequest {
-                // The front assigned the connection to this process before it observed the shut
-                // gate; the request follows directly.
+                // The load balancer assigned the connection to this process before it observed the
+                // shut gate; the request follows directly.
                 Timer::after(FIRST_REQUEST_GRACE).await;
             }
         };
--- a/forwarder/server/src/connection_quotas/permit.rs
+++ b/forwarder/server/src/connection_quotas/permit.rs
@@ -32,7 +32,7 @@
 pub enum Acquired {
     /// A permit for a new connection.
     New(Permit),
-    /// The permit of the lent connection is marked as in use.
+    /// The permit of the reused connection, passed as `lent`, is marked as in use.
     Lent,
     /// The pool has no capacity now.
     Exhausted(PoolId),
@@ -103,8 +103,8 @@
         }
     }
 
-    /// Acquires a permit for a call that ends by `deadline`: that of the lent connection, or one
-    /// for a new connection.
+    /// Acquires a permit for a call that ends by `deadline`: `lent`, the permit of the idle
+    /// connection that the call reuses, or one for a new connection.
     pub fn acquire(
         self: &Rc<Self>,
         target: &TargetId,
--- a/forwarder/server/src/event_loop/command_queue.rs
+++ b/forwarder/server/src/event_loop/command_queue.rs
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Sends a command at once, ahead of the queued ones. A command to a target without a mailbox
-    /// is not needed and is dropped.
+    /// Sends a command at once, ahead of the queued ones. A command that cannot be sent is dropped:
+    /// neither an attempt nor a health check is sent in this way.
     pub(super) fn send_now(&mut self, target: &TargetId, command: TargetCommand) {
         let _ = self.targets.send(target, command);
     }
--- a/forwarder/server/src/event_loop/durable_log.rs
+++ b/forwarder/server/src/event_loop/durable_log.rs
@@ -132,8 +132,8 @@
         }
     }
 
-    /// Writes the records that were made before the iteration's decisions. With replication these
-    /// records are proposed together with all others of the iteration.
+    /// Writes the records made since the last commit. With replication this does nothing: all
+    /// records of an iteration are proposed together at its end.
     ///
     /// # Errors
     /// The file cannot be written.
--- a/forwarder/server/src/event_loop/host/adoption.rs
+++ b/forwarder/server/src/event_loop/host/adoption.rs
@@ -1,7 +1,7 @@
 //! Handling of events of the Raft groups that replicate event logs: start and end of leadership,
 //! committed and discarded proposals. A process that becomes the leader of a group adopts the
-//! group: the group's events are pending in the process from then on. [`plan_adoption`] decides on
-//! each of these events.
+//! group's events: they are pending in the process from then on. [`plan_adoption`] decides on each
+//! of them.
 
 use plankhill_decisions::interface::{EventId, TargetId};
 use plankhill_decisions::scheduler::Scheduler;
@@ -17,7 +17,7 @@
 use crate::event_loop::replicated_log::ReplicatedLog;
 use crate::messages::{CompletionNotice, Input};
 
-/// Whether the input may change which groups this process leads.
+/// Whether the input may change which groups this process leads or which instances it reaches.
 pub(in crate::event_loop) fn changes_leadership(input: &Input) -> bool {
     match input {
         Input::GroupEvent(event) => matches!(
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Adopts a group that this process has come to lead: its events are pending here.
+    /// Adopts the events of a group that this process has come to lead.
     fn lead_group(
         &mut self,
         scheduler: &mut Scheduler,
@@ -188,8 +188,8 @@
         }
     }
 
-    /// State of an event of the group in this process. None while an attempt is in flight that was
-    /// withdrawn here.
+    /// State of an event of the group in this process. None while an attempt is in flight here under
+    /// the id of an event that was withdrawn.
     fn local_knowledge(&self, group: GroupId, id: &EventId) -> Option<LocalKnowledge> {
         let DurableLog::Replicated(log) = &self.log else {
             return None;
--- a/forwarder/server/src/event_loop/host/mod.rs
+++ b/forwarder/server/src/event_loop/host/mod.rs
@@ -55,8 +55,8 @@
     attempts_in_flight: HashSet<EventId>,
     /// Recently completed events; another submission of such an event is not a new event.
     recently_completed: RecentEvents,
-    /// With replication: events that were delivered or abandoned here and are not restored from an
-    /// adopted log.
+    /// With replication: events that were delivered or abandoned here, and are not restored when a
+    /// group that still contains them is adopted.
     resolved_locally: RecentEvents,
     notices: NoticeQueue,
     commands: CommandQueue,
--- a/forwarder/server/src/event_loop/host/staging.rs
+++ b/forwarder/server/src/event_loop/host/staging.rs
@@ -14,8 +14,8 @@
 use crate::event_loop::replicated_log::{IterationEffects, PendingNotice, PendingResponse};
 use crate::messages::{OutgoingCall, TargetCommand};
 
-/// Interval for retrying to submit proposals that the ring had no room for, and to send calls that
-/// the lease did not allow.
+/// Interval for retrying to submit proposals that the ring to the groups thread had no room for,
+/// and to send calls whose groups' leases this process did not hold.
 const RETRY_INTERVAL: Ms = 2.0;
 
 impl SchedulerHost {
@@ -90,6 +90,7 @@
             match command {
                 TargetCommand::Call(mut call) => {
                     if !call.groups.iter().all(|group| is_committed(*group)) {
+                        // A call without groups ends as not sent.
                         call.groups.clear();
                     }
                     self.send_committed_call(target, call);
--- a/forwarder/server/src/event_loop/mod.rs
+++ b/forwarder/server/src/event_loop/mod.rs
@@ -183,9 +183,9 @@
         }
     }
 
-    /// If a group event changes which groups this process leads, runs a separate iteration for all
-    /// group events first, because the admission of new events depends on the led groups. Returns
-    /// the other inputs.
+    /// If a group event may change which groups this process leads or which instances it reaches,
+    /// runs a separate iteration for all group events first, because the admission of new events
+    /// depends on both. Returns the other inputs.
     fn apply_leadership_changes(&mut self, inputs: Vec<Input>) -> Vec<Input> {
         if !inputs.iter().any(changes_leadership) {
             return inputs;
--- a/forwarder/server/src/event_loop/notice_queue.rs
+++ b/forwarder/server/src/event_loop/notice_queue.rs
@@ -42,8 +42,8 @@
         self.unacknowledged
     }
 
-    /// Takes the notices of this iteration and counts them as unacknowledged from here on:
-    /// admission accepts fewer events than there is room for outcomes.
+    /// Takes the notices of this iteration and counts them as unacknowledged from here on, since
+    /// admission limits the sum of unacknowledged notices and pending events.
     pub(super) fn take_staged(&mut self) -> Drain<'_, CompletionNotice> {
         self.unacknowledged += self.staged.len();
         self.staged.drain(..)
--- a/forwarder/server/src/event_loop/recent_events.rs
+++ b/forwarder/server/src/event_loop/recent_events.rs
@@ -5,7 +5,7 @@
 use plankhill_decisions::interface::{EventId, Ms};
 
 /// How long an id is remembered. A second submission of an event comes at about the time of the
-/// first; deadlines are shorter on the longest of days.
+/// first, and the timeouts of events in the deployed configurations are shorter.
 const RECENT_EVENT_TTL: Ms = 30_000.0;
 /// Maximum number of ids, about a megabyte; beyond it the oldest ids are removed first.
 const MAX_RECENT_EVENTS: usize = 8192;
--- a/forwarder/server/src/event_loop/replicated_log/mod.rs
+++ b/forwarder/server/src/event_loop/replicated_log/mod.rs
@@ -46,8 +46,8 @@
     pub(super) notices: Vec<PendingNotice>,
 }
 
-/// An event of an adopted table whose adoption waits for the end of an attempt under the same id
-/// that was withdrawn here.
+/// An event of a group whose adoption waits for the end of an attempt that is in flight here under
+/// the same id, after the event of that attempt was withdrawn.
 pub(super) struct DeferredAdoption {
     pub(super) group: GroupId,
     pub(super) event: EventId,
@@ -117,7 +117,7 @@
         self.raft.holds_lease(group)
     }
 
-    /// The longest time in milliseconds for which a process may stall.
+    /// The longest time in milliseconds for which a process may stall: the watchdog's timeout.
     pub(super) fn max_stall(&self) -> Ms {
         self.raft.max_stall()
     }
--- a/forwarder/server/src/main.rs
+++ b/forwarder/server/src/main.rs
@@ -3,7 +3,9 @@
 //!
 //! `server` starts and stops the process. Path of an event: `clients` reads a request, `event_loop`
 //! records it and decides, `targets` calls the target, and `notifier` reports outcomes other than
-//! delivery to the platform. `docs/architecture.md` describes the architecture.
+//! delivery to the platform. `hot_restart` hands over to a new process. In a fleet of forwarders,
+//! `raft` starts the threads that replicate event logs and coordinate instances, and `raft_events`
+//! receives their events. `docs/architecture.md` describes the architecture.
 
 mod admin_listener;
 mod call_kind;
--- a/forwarder/server/src/messages.rs
+++ b/forwarder/server/src/messages.rs
@@ -58,9 +58,9 @@
     GroupEvent(GroupEvent),
     /// The process is to shut down once nothing is pending.
     ShutdownRequested,
-    /// A call is about to be written, some time after it was decided. Answered once the earlier
-    /// inputs are applied: the resulting decisions reach the target's actor in the same turn of the
-    /// executor.
+    /// Sent by a call that is about to be written some time after it was decided, and answered once
+    /// the earlier inputs are applied. The resulting decisions, which may cancel the call, reach the
+    /// target's actor in the same turn of the executor.
     Barrier(Sender<()>),
 }
 
--- a/forwarder/server/src/notifier.rs
+++ b/forwarder/server/src/notifier.rs
@@ -1,5 +1,6 @@
 //! The notifier: reports outcomes other than delivery to the platform, in order, and retries until
-//! each is acknowledged. Spawned once by `server`; the event loop fills its mailbox.
+//! each is acknowledged. The platform's agent receives them at the address of discovery. Spawned
+//! once by `server`; the event loop fills its mailbox.
 
 use std::time::{Duration, Instant};
 
--- a/forwarder/server/src/raft.rs
+++ b/forwarder/server/src/raft.rs
@@ -76,8 +76,9 @@
 }
 
 impl RaftHandle {
-    /// `max_stall` is the longest time in milliseconds that a process may stall; `replicas` are the
-    /// replicas of event logs at this process, of its own log and of those of other instances.
+    /// `max_stall` is the longest time in milliseconds that a process may stall, which is the
+    /// watchdog's timeout; `replicas` are the replicas of event logs at this process, of its own log
+    /// and of those of other instances.
     pub fn new(
         groups: Box<dyn Groups>,
         max_stall: Ms,
--- a/forwarder/server/src/target_table.rs
+++ b/forwarder/server/src/target_table.rs
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Sends a command to a target's actor, which is started for the first call.
+    /// Sends a command to a target's actor, which is started for a call, a health check or a
+    /// connection to reuse if there is none.
     ///
     /// # Errors
     /// Returns the command if the target is not listed or its mailbox is full.
