--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -4,12 +4,14 @@
 use std::net::SocketAddr;
 use std::os::unix::fs::MetadataExt;
 use std::path::PathBuf;
-use std::sync::LazyLock;
+use std::sync::{Arc, LazyLock};
 use std::time::Duration;
 
 use plankhill_protocol::ids::{NodeId, Revision};
 use plankhill_protocol::transport::{accept, Channel, Hello};
-use plankhill_replica::{start, ReplicaHandle, ReplicaSettings, ReplicaStatus, ReplicatedState};
+use plankhill_replica::{
+    start, CommittedState, ReplicaHandle, ReplicaSettings, ReplicaStatus, ReplicatedState,
+};
 use plankhill_test_relay::LoopbackNetwork;
 use serde::{Deserialize, Serialize};
 use tempfile::TempDir;
@@ -20,6 +22,9 @@
 /// fails soon.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
+/// Pause between two attempts of a call that a partitioned member rejects at once.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
+
 /// A word with this prefix replaces all others; see [`WordList::apply`].
 pub const REPLACE_PREFIX: &str = "only ";
 
@@ -163,8 +168,26 @@
         found.expect("in time").unwrap();
     }
 
-    /// Proposes a word and returns the number of words after it was applied.
+    /// Performs a linearizable read, and repeats it while the member is partitioned: on a busy
+    /// machine a member may miss heartbeats for a moment.
+    pub async fn read(&self) -> Arc<CommittedState<WordList>> {
+        let reading = async {
+            loop {
+                if let Ok(state) = self.handle().read(TEST_TIMEOUT).await {
+                    return state;
+                }
+                tokio::time::sleep(RETRY_INTERVAL).await;
+            }
+        };
+        tokio::time::timeout(TEST_TIMEOUT, reading)
+            .await
+            .expect("in time")
+    }
+
+    /// Proposes a word once the member is current, and returns the number of words after it was
+    /// applied.
     pub async fn propose(&self, word: &str) -> usize {
+        self.wait_until_current().await;
         self.handle()
             .propose(word.to_owned(), TEST_TIMEOUT)
             .await
