--- a/test-relay/src/network.rs
+++ b/test-relay/src/network.rs
@@ -28,7 +28,7 @@
     ///
     /// # Panics
     /// Panics if no free network is found.
-    pub fn take() -> Self {
+    pub fn reserve() -> Self {
         let random = RandomState::new();
         for attempt in 0..MAX_ATTEMPTS {
             let hash = random.hash_one(attempt);
--- a/tier/chain/src/acceptor.rs
+++ b/tier/chain/src/acceptor.rs
@@ -31,7 +31,7 @@
 
 impl Acceptor {
     /// Creates an acceptor that has made no promise.
-    pub fn fresh(instance: ViewNumber) -> Self {
+    pub fn new(instance: ViewNumber) -> Self {
         Self {
             instance,
             promised: None,
--- a/tier/chain/src/member/mod.rs
+++ b/tier/chain/src/member/mod.rs
@@ -125,7 +125,7 @@
         let next_view = disk.view.number.next();
         let acceptor = match disk.acceptor.instance == next_view {
             true => disk.acceptor,
-            false => Acceptor::fresh(next_view),
+            false => Acceptor::new(next_view),
         };
         let seed = config.random_seed | 1;
         let log = Log::new(disk.snapshot.revision, disk.entries);
--- a/tier/chain/src/member/view_change.rs
+++ b/tier/chain/src/member/view_change.rs
@@ -38,7 +38,7 @@
             false => self.log.committed(),
         };
         self.log.truncate(last_kept);
-        self.acceptor = Acceptor::fresh(view.number.next());
+        self.acceptor = Acceptor::new(view.number.next());
         self.view = view;
         self.persist_view(last_kept);
         if is_next_view {
--- a/tier/chain/tests/exploration/node.rs
+++ b/tier/chain/tests/exploration/node.rs
@@ -115,7 +115,7 @@
         }
         if defect == Some(Defect::PromiseUnsynced) {
             let instance = self.disk.view.number.next();
-            self.disk.acceptor = plankhill_chain::Acceptor::fresh(instance);
+            self.disk.acceptor = plankhill_chain::Acceptor::new(instance);
         }
         let disk = self.disk.clone();
         *self = Self::start(index, machines, disk, self.restarts + 1, defect);
--- a/tier/command/src/demo.rs
+++ b/tier/command/src/demo.rs
@@ -23,6 +23,9 @@
 }
 
 fn run(programs: u32) -> Result<Report, DemoError> {
-    let program = std::env::current_exe()?;
-    plankhill_demo::run(&DemoOptions { program, programs })
+    let executable = std::env::current_exe()?;
+    plankhill_demo::run(&DemoOptions {
+        executable,
+        program_count: programs,
+    })
 }
--- a/tier/command/tests/processes/cluster.rs
+++ b/tier/command/tests/processes/cluster.rs
@@ -64,7 +64,7 @@
 impl Cluster {
     /// Starts three machines for the first time and waits until they are in service.
     pub fn bootstrap() -> Self {
-        let network = LoopbackNetwork::take();
+        let network = LoopbackNetwork::reserve();
         let internal = (0..MACHINES).map(|index| {
             let at = SocketAddr::from((advertised(&network, index), INTERNAL_PORT));
             let to = SocketAddr::from((bound(&network, index), INTERNAL_PORT));
--- a/tier/command/tests/processes/operators.rs
+++ b/tier/command/tests/processes/operators.rs
@@ -10,7 +10,7 @@
 use crate::documents::configuration_with;
 use crate::http::{exchange, Request};
 use crate::register::checker::ObservedHistory;
-use crate::register::{Answer, Content, Request as Operation};
+use crate::register::{Content, Request as Operation, Response};
 
 const OPERATORS: u64 = 2;
 /// Pause between two requests of an operator.
@@ -55,16 +55,16 @@
     }
 
     /// Sends a request to a machine, and records it with its answer unless the outcome is unknown.
-    fn request(&self, machine: usize, operation: &Operation) -> Option<Answer> {
-        let number = self.history().call(operation.clone());
+    fn request(&self, machine: usize, operation: &Operation) -> Option<Response> {
+        let number = self.history().record_call(operation.clone());
         let answer = self.send(machine, operation)?;
-        self.history().answer(number, answer.clone());
+        self.history().record_response(number, answer.clone());
         match (&answer, operation) {
-            (Answer::Accepted, Operation::Put { content, .. }) => {
+            (Response::Accepted, Operation::Put { content, .. }) => {
                 self.acknowledged.fetch_add(1, Ordering::SeqCst);
                 self.newest.fetch_max(content.0, Ordering::SeqCst);
             }
-            (Answer::Read(content), _) => {
+            (Response::Read(content), _) => {
                 self.newest.fetch_max(content.0, Ordering::SeqCst);
             }
             _ => {}
@@ -72,7 +72,7 @@
         Some(answer)
     }
 
-    fn send(&self, machine: usize, operation: &Operation) -> Option<Answer> {
+    fn send(&self, machine: usize, operation: &Operation) -> Option<Response> {
         let address = self.machines[machine];
         match operation {
             Operation::Read => {
@@ -84,8 +84,8 @@
                 };
                 let answer = exchange(address, &request, || {}).ok()?;
                 match answer.status {
-                    200 => Some(Answer::Read(self.content_of(&answer.body))),
-                    404 => Some(Answer::Read((0, 0))),
+                    200 => Some(Response::Read(self.content_of(&answer.body))),
+                    404 => Some(Response::Read((0, 0))),
                     503 => None,
                     status => panic!("a read: {status} {}", answer.body),
                 }
@@ -101,8 +101,8 @@
                 let sent = || self.request_at.store(machine, Ordering::SeqCst);
                 let answer = exchange(address, &request, sent).ok()?;
                 match answer.status {
-                    200 => Some(Answer::Accepted),
-                    412 => Some(Answer::Rejected),
+                    200 => Some(Response::Accepted),
+                    412 => Some(Response::Rejected),
                     503 => None,
                     status => panic!("a change: {status} {}", answer.body),
                 }
@@ -227,7 +227,7 @@
         let content = (expected + 1, LAST_CONTENT);
         let change = Operation::Put { expected, content };
         for machine in 0..MACHINES {
-            if shared.request(machine, &change) == Some(Answer::Accepted) {
+            if shared.request(machine, &change) == Some(Response::Accepted) {
                 return content;
             }
         }
@@ -239,7 +239,7 @@
 fn read(shared: &Shared, machine: usize) -> Content {
     let began = Instant::now();
     while began.elapsed() < READ_TIMEOUT {
-        if let Some(Answer::Read(content)) = shared.request(machine, &Operation::Read) {
+        if let Some(Response::Read(content)) = shared.request(machine, &Operation::Read) {
             return content;
         }
         sleep(THINK_TIME);
--- a/tier/controller/tests/cluster/process.rs
+++ b/tier/controller/tests/cluster/process.rs
@@ -36,7 +36,7 @@
 
 /// Returns a new loopback address that is reserved for this test process.
 pub fn free_address() -> SocketAddr {
-    static NETWORK: LazyLock<LoopbackNetwork> = LazyLock::new(LoopbackNetwork::take);
+    static NETWORK: LazyLock<LoopbackNetwork> = LazyLock::new(LoopbackNetwork::reserve);
     NETWORK.next_address()
 }
 
--- a/tier/controller/tests/histories.rs
+++ b/tier/controller/tests/histories.rs
@@ -11,7 +11,7 @@
 use common::configuration_with;
 use hyper::StatusCode;
 use register::checker::ObservedHistory;
-use register::{Answer, Content, History, Register, Request};
+use register::{Content, History, Register, Request, Response};
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
 /// A pseudorandom number generator (xorshift), deterministic for each seed.
@@ -34,7 +34,7 @@
 /// An event of a history, with the index of its request.
 enum Event {
     Invoked(usize),
-    Returned(usize, Answer),
+    Returned(usize, Response),
 }
 
 /// Several operators that share the responses received so far. A request is not always based on the
@@ -111,8 +111,8 @@
             };
             self.definite_responses += 1;
             match (&answer, &requests[number]) {
-                (Answer::Read(content), _) => self.newest = self.newest.max(*content),
-                (Answer::Accepted, Request::Put { content, .. }) => {
+                (Response::Read(content), _) => self.newest = self.newest.max(*content),
+                (Response::Accepted, Request::Put { content, .. }) => {
                     self.newest = self.newest.max(*content)
                 }
                 _ => {}
@@ -157,9 +157,9 @@
         for event in &self.events {
             match event {
                 Event::Invoked(index) => {
-                    assert_eq!(observed.call(self.requests[*index].clone()), *index);
+                    assert_eq!(observed.record_call(self.requests[*index].clone()), *index);
                 }
-                Event::Returned(index, answer) => observed.answer(*index, answer.clone()),
+                Event::Returned(index, answer) => observed.record_response(*index, answer.clone()),
             }
         }
         observed
@@ -190,14 +190,14 @@
 }
 
 /// Returns the definite outcome of a request; `None` if the response leaves the outcome open.
-fn definite_outcome(request: &Request, status: StatusCode, body: &str) -> Option<Answer> {
+fn definite_outcome(request: &Request, status: StatusCode, body: &str) -> Option<Response> {
     match (request, status) {
-        (Request::Put { .. }, StatusCode::OK) => Some(Answer::Accepted),
+        (Request::Put { .. }, StatusCode::OK) => Some(Response::Accepted),
         (Request::Put { .. }, StatusCode::PRECONDITION_FAILED | StatusCode::BAD_REQUEST) => {
-            Some(Answer::Rejected)
+            Some(Response::Rejected)
         }
-        (Request::Read, StatusCode::OK) => Some(Answer::Read(content_of(body))),
-        (Request::Read, StatusCode::NOT_FOUND) => Some(Answer::Read((0, 0))),
+        (Request::Read, StatusCode::OK) => Some(Response::Read(content_of(body))),
+        (Request::Read, StatusCode::NOT_FOUND) => Some(Response::Read((0, 0))),
         (_, StatusCode::SERVICE_UNAVAILABLE) => None,
         (request, status) => panic!("{request:?}: {status}"),
     }
@@ -255,7 +255,7 @@
     (1..=4).for_each(|seed| run_history(seed * 7_919));
 }
 
-fn history(steps: &[(usize, Request, Option<Answer>)]) -> History {
+fn history(steps: &[(usize, Request, Option<Response>)]) -> History {
     let mut history = LinearizabilityTester::new(Register::default());
     for (index, request, answer) in steps {
         history
@@ -280,7 +280,7 @@
 /// Guards against a checker that accepts histories that are not linearizable.
 #[test]
 fn known_violations_are_detected() {
-    use Answer::{Accepted, Read, Rejected};
+    use Response::{Accepted, Read, Rejected};
     let accepted = |index, request| (index, request, Some(Accepted));
     let both_accepted = [
         accepted(0, put(0, 5, 1)),
@@ -316,12 +316,12 @@
 }
 
 /// Converts sequential requests to a history for the checker.
-fn observed(steps: &[(usize, Request, Option<Answer>)]) -> ObservedHistory {
+fn observed(steps: &[(usize, Request, Option<Response>)]) -> ObservedHistory {
     let mut observed = ObservedHistory::default();
     for (_, request, answer) in steps {
-        let number = observed.call(request.clone());
+        let number = observed.record_call(request.clone());
         if let Some(answer) = answer {
-            observed.answer(number, answer.clone());
+            observed.record_response(number, answer.clone());
         }
     }
     observed
@@ -338,7 +338,7 @@
     let mut rng = Rng(seed | 1);
     let mut register = Register::default();
     let mut observed = ObservedHistory::default();
-    let mut open: Vec<(usize, Option<Answer>)> = Vec::new();
+    let mut open: Vec<(usize, Option<Response>)> = Vec::new();
     for _ in 0..LONG_HISTORY {
         let current = register.current.0;
         let request = match rng.below(3) {
@@ -346,7 +346,7 @@
             1 => put(current, current + 1 + rng.below(2) as u64, 1 + rng.below(3)),
             _ => put(current.saturating_sub(1), current + 1, 1 + rng.below(3)),
         };
-        let number = observed.call(request.clone());
+        let number = observed.record_call(request.clone());
         let is_request_lost = rng.below(10) == 0;
         let answer = (!is_request_lost).then(|| register.invoke(&request));
         let is_response_lost = rng.below(10) == 0;
@@ -354,7 +354,7 @@
         while open.len() >= MAX_OPEN_REQUESTS || (!open.is_empty() && rng.below(3) == 0) {
             let (number, answer) = open.swap_remove(rng.below(open.len()));
             if let Some(answer) = answer {
-                observed.answer(number, answer);
+                observed.record_response(number, answer);
             }
         }
     }
@@ -381,7 +381,7 @@
 #[test]
 fn a_violation_in_a_long_history_is_detected() {
     let mut observed = long_history(7);
-    let number = observed.call(Request::Read);
-    observed.answer(number, Answer::Read((1, 9)));
+    let number = observed.record_call(Request::Read);
+    observed.record_response(number, Response::Read((1, 9)));
     assert!(!observed.is_linearizable());
 }
--- a/tier/controller/tests/register/checker.rs
+++ b/tier/controller/tests/register/checker.rs
@@ -11,7 +11,7 @@
 
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-use super::{Answer, Content, Request};
+use super::{Content, Request, Response};
 
 /// A request with the times of its call and its response, which are positions in the history.
 #[derive(Clone, Debug)]
@@ -19,7 +19,7 @@
     pub request: Request,
     pub called_at: usize,
     /// The time and the response; `None` if there was no definite response.
-    pub response: Option<(usize, Answer)>,
+    pub response: Option<(usize, Response)>,
 }
 
 /// A history as observed by the clients.
@@ -31,7 +31,7 @@
 
 impl ObservedHistory {
     /// Records the call of a request and returns its number.
-    pub fn call(&mut self, request: Request) -> usize {
+    pub fn record_call(&mut self, request: Request) -> usize {
         self.now += 1;
         self.requests.push(TimedRequest {
             request,
@@ -42,7 +42,7 @@
     }
 
     /// Records a definite response.
-    pub fn answer(&mut self, number: usize, response: Answer) {
+    pub fn record_response(&mut self, number: usize, response: Response) {
         self.now += 1;
         self.requests[number].response = Some((self.now, response));
     }
@@ -236,14 +236,14 @@
             return Effect::Impossible;
         };
         match (&request.request, response) {
-            (Request::Read, Answer::Read(content)) if *content == current => Effect::NoChange,
+            (Request::Read, Response::Read(content)) if *content == current => Effect::NoChange,
             (Request::Put { expected, content }, response) => {
                 let was_accepted = self.states.has_accepted(state, *content);
                 let would_change = *expected == current.0 && content.0 > current.0;
                 match response {
-                    Answer::Accepted if was_accepted => Effect::NoChange,
-                    Answer::Accepted if would_change => Effect::Changes(*content),
-                    Answer::Rejected if !was_accepted && !would_change => Effect::NoChange,
+                    Response::Accepted if was_accepted => Effect::NoChange,
+                    Response::Accepted if would_change => Effect::Changes(*content),
+                    Response::Rejected if !was_accepted && !would_change => Effect::NoChange,
                     _ => Effect::Impossible,
                 }
             }
--- a/tier/controller/tests/register/mod.rs
+++ b/tier/controller/tests/register/mod.rs
@@ -18,7 +18,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Answer {
+pub enum Response {
     Accepted,
     Rejected,
     Read(Content),
@@ -33,20 +33,20 @@
 
 impl SequentialSpec for Register {
     type Op = Request;
-    type Ret = Answer;
+    type Ret = Response;
 
-    fn invoke(&mut self, request: &Request) -> Answer {
+    fn invoke(&mut self, request: &Request) -> Response {
         match request {
-            Request::Read => Answer::Read(self.current),
-            Request::Put { content, .. } if self.accepted.contains(content) => Answer::Accepted,
+            Request::Read => Response::Read(self.current),
+            Request::Put { content, .. } if self.accepted.contains(content) => Response::Accepted,
             Request::Put { expected, content }
                 if *expected == self.current.0 && content.0 > self.current.0 =>
             {
                 self.current = *content;
                 self.accepted.insert(*content);
-                Answer::Accepted
+                Response::Accepted
             }
-            Request::Put { .. } => Answer::Rejected,
+            Request::Put { .. } => Response::Rejected,
         }
     }
 }
--- a/tier/demo/src/lib.rs
+++ b/tier/demo/src/lib.rs
@@ -35,9 +35,9 @@
 #[derive(Debug, Clone)]
 pub struct DemoOptions {
     /// Path of the executable `plankhill-tier`.
-    pub program: PathBuf,
+    pub executable: PathBuf,
     /// Number of agent programs sent through the tier.
-    pub programs: u32,
+    pub program_count: u32,
 }
 
 /// Runs the demo, which takes less than a minute, and prints its progress.
--- a/tier/demo/src/scenario.rs
+++ b/tier/demo/src/scenario.rs
@@ -40,10 +40,10 @@
 
 /// Runs the demo to its end.
 pub(crate) async fn run(options: &DemoOptions) -> Result<Report, DemoError> {
-    let mut demo = DemoRun::start(options.program.clone()).await?;
+    let mut demo = DemoRun::start(options.executable.clone()).await?;
     demo.put_configuration(0, &configuration::initial()).await?;
     demo.wait_for_proxies().await?;
-    let programs = demo.start_programs(options.programs);
+    let programs = demo.start_programs(options.program_count);
     sleep(STEP_DELAY).await;
     let drain_time = demo.drain_proxy().await?;
     let propagation = demo.kill_controller().await?;
--- a/tier/replica/tests/common/mod.rs
+++ b/tier/replica/tests/common/mod.rs
@@ -61,7 +61,7 @@
 
 /// Returns a loopback address that no other test process uses.
 pub fn free_address() -> SocketAddr {
-    static NETWORK: LazyLock<LoopbackNetwork> = LazyLock::new(LoopbackNetwork::take);
+    static NETWORK: LazyLock<LoopbackNetwork> = LazyLock::new(LoopbackNetwork::reserve);
     NETWORK.next_address()
 }
 
--- a/tier/replica/tests/stored_format.rs
+++ b/tier/replica/tests/stored_format.rs
@@ -178,7 +178,7 @@
     let mut lines = rows(folder);
     let mut storage = FjallStorage::open(&folder.join("chain")).unwrap();
     storage
-        .write(&[Write::Acceptor(Acceptor::fresh(ViewNumber(301)))])
+        .write(&[Write::Acceptor(Acceptor::new(ViewNumber(301)))])
         .unwrap();
     drop(storage);
     lines.extend(
