--- a/decisions/src/interface.rs
+++ b/decisions/src/interface.rs
@@ -80,7 +80,7 @@
     /// Milliseconds after submission up to which a delivery has its full value (latency target).
     pub soft_limit: Ms,
     /// Milliseconds from submission to the deadline.
-    pub patience: Ms,
+    pub time_to_deadline: Ms,
     /// The value of a delivery within the soft limit.
     pub value: f64,
     /// The share of the value, from 0 to 1, that a delivery at the deadline has.
--- a/decisions/src/scheduler/admission.rs
+++ b/decisions/src/scheduler/admission.rs
@@ -13,7 +13,7 @@
 impl Scheduler {
     /// Returns whether the destination is in the endpoint list, or was until recently. An event for
     /// any other destination could only wait for its deadline.
-    pub fn knows_destination(&self, destination: DestinationId) -> bool {
+    pub fn has_destination(&self, destination: DestinationId) -> bool {
         self.destinations.contains_key(&destination)
     }
 
--- a/decisions/src/scheduler/load_shedding.rs
+++ b/decisions/src/scheduler/load_shedding.rs
@@ -62,8 +62,8 @@
     /// deadline.
     fn value_if_delivered_now(&self, event: &PendingEvent) -> f64 {
         let traffic_type = &self.config.traffic_types[event.traffic_type.0];
-        let age = self.now - (event.deadline - traffic_type.patience);
-        let decline_time = (traffic_type.patience - traffic_type.soft_limit).max(1.0);
+        let age = self.now - (event.deadline - traffic_type.time_to_deadline);
+        let decline_time = (traffic_type.time_to_deadline - traffic_type.soft_limit).max(1.0);
         let lateness = ((age - traffic_type.soft_limit) / decline_time).clamp(0.0, 1.0);
         let weight = if event.over_quota {
             self.config.over_quota_value_weight
--- a/decisions/tests/decision_stream.rs
+++ b/decisions/tests/decision_stream.rs
@@ -425,7 +425,7 @@
             .run_iteration(now, apply_inputs, &mut recorder)
             .expect("the inputs refer only to known ids");
         let known = (1..=DESTINATIONS + 1)
-            .filter(|&id| scheduler.knows_destination(DestinationId(id)))
+            .filter(|&id| scheduler.has_destination(DestinationId(id)))
             .count();
         recorder.digest.add(&format!("round {now:?} {known}\n"));
     }
--- a/decisions/tests/host/mod.rs
+++ b/decisions/tests/host/mod.rs
@@ -35,7 +35,7 @@
     let traffic_type = |idempotency, ordered| TrafficType {
         idempotency,
         soft_limit: 1000.0,
-        patience: 20_000.0,
+        time_to_deadline: 20_000.0,
         value: 1.0,
         value_at_end: 0.2,
         ordered,
--- a/decisions/tests/targets.rs
+++ b/decisions/tests/targets.rs
@@ -31,7 +31,7 @@
 #[rstest]
 fn a_destination_is_known_while_it_is_listed_and_for_a_minute_after() {
     let mut host = default_host();
-    let known = |host: &Host, of| host.scheduler.knows_destination(DestinationId(of));
+    let known = |host: &Host, of| host.scheduler.has_destination(DestinationId(of));
     assert!(known(&host, 1) && !known(&host, 70_000));
     host.run(10.0, |scheduler| {
         scheduler.set_endpoint_state(&target("t"), EndpointState::Removed)
--- a/forwarder/cli/src/convert.rs
+++ b/forwarder/cli/src/convert.rs
@@ -22,7 +22,11 @@
 ) -> Result<(), CliError> {
     let usage_error = |reason: String| CliError::Usage(format!("{}: {reason}", file.display()));
     let text = fs::read_to_string(file).map_err(|e| usage_error(format!("cannot be read: {e}")))?;
-    let Converted { config, set, left } = converted(&text, retry_after).map_err(usage_error)?;
+    let Converted {
+        config,
+        changed,
+        not_converted,
+    } = converted(&text, retry_after).map_err(usage_error)?;
     if !dry_run {
         let text = format!(
             "{}\n",
@@ -30,10 +34,10 @@
         );
         write_new(to, text.as_bytes())?;
     }
-    for line in &set {
+    for line in &changed {
         writeln!(out, "set   {line}")?;
     }
-    for line in &left {
+    for line in &not_converted {
         writeln!(out, "left  {line}")?;
     }
     if dry_run {
--- a/forwarder/cli/src/error.rs
+++ b/forwarder/cli/src/error.rs
@@ -2,7 +2,7 @@
 
 use std::io::ErrorKind;
 
-use plankhill_experiments::Stopped;
+use plankhill_experiments::ExperimentError;
 
 /// An error that ends the command. Its message is the one line on standard error.
 #[derive(Debug, thiserror::Error)]
@@ -38,12 +38,12 @@
     }
 }
 
-impl From<Stopped> for CliError {
-    fn from(stopped: Stopped) -> Self {
-        match stopped {
-            Stopped::Given(reason) => CliError::Usage(reason),
-            Stopped::Outside(reason) => CliError::Failure(reason),
-            Stopped::Asked => CliError::Failure("stopped before its end".into()),
+impl From<ExperimentError> for CliError {
+    fn from(error: ExperimentError) -> Self {
+        match error {
+            ExperimentError::InvalidInput(reason) => CliError::Usage(reason),
+            ExperimentError::Io(reason) => CliError::Failure(reason),
+            ExperimentError::Interrupted => CliError::Failure("stopped before its end".into()),
         }
     }
 }
--- a/forwarder/cli/src/experiment.rs
+++ b/forwarder/cli/src/experiment.rs
@@ -33,7 +33,8 @@
     } else {
         shipped::find(&experiment.scenario)
     };
-    let scenario = scenario.map_err(|reason| CliError::Usage(text.wrong("scenario", &reason)))?;
+    let scenario =
+        scenario.map_err(|reason| CliError::Usage(text.error_at("scenario", &reason)))?;
     let commit = env!("PLANKHILL_COMMIT").to_owned();
     let scenario_text = scenario.text().to_owned();
     let plan = Plan::new(
@@ -54,7 +55,7 @@
     progress.set_style(
         ProgressStyle::with_template(style).map_err(|e| CliError::Failure(e.to_string()))?,
     );
-    progress.set_position(folder.held() as u64);
+    progress.set_position(folder.completed_days() as u64);
     progress.reset_eta();
     run(
         &plan,
--- a/forwarder/cli/tests/convert.rs
+++ b/forwarder/cli/tests/convert.rs
@@ -89,7 +89,7 @@
     }
     let new = load_config(&folder.0.join("new.json"));
     assert!(!new.decisions.health_checks_allowed && new.decisions.max_retry_after.is_none());
-    assert!(new.names.sizes_are_rates && new.names.left_at == Some(0));
+    assert!(new.names.sizes_are_rates && new.names.limit_remaining_column == Some(0));
     let text: Value = serde_json::from_str(&folder.text("new.json")).expect("is JSON");
     assert_eq!(text["ours"], json!({"kept": 1}), "unknown keys are kept");
     assert_eq!(
--- a/forwarder/config/src/convert.rs
+++ b/forwarder/config/src/convert.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 
-use crate::decisions::{is_rate_kind, LEFT};
+use crate::decisions::{is_rate_kind, LIMIT_REMAINING_COLUMN};
 use crate::fields::*;
 use crate::parse_config;
 
@@ -12,9 +12,9 @@
 pub struct Converted {
     pub config: Value,
     /// The changed settings, one line each: key, old value, new value.
-    pub set: Vec<String>,
+    pub changed: Vec<String>,
     /// Settings of the old file that have no equivalent in the new format, or that have to be provided again.
-    pub left: Vec<String>,
+    pub not_converted: Vec<String>,
 }
 
 /// The values that the new format sets, by the path of their key. Load reports contain the remaining share of the
@@ -26,7 +26,10 @@
         ("/settings/weightKind", json!("nominal")),
         ("/settings/familyInfo/losesWorth", json!("halving")),
         ("/settings/report/via", json!("piggyback")),
-        ("/settings/report/columns", json!([LEFT, "x1"])),
+        (
+            "/settings/report/columns",
+            json!([LIMIT_REMAINING_COLUMN, "x1"]),
+        ),
     ]
 }
 
@@ -36,11 +39,11 @@
 pub fn convert(text: &str, retry_after: Option<bool>) -> ConfigResult<Converted> {
     let mut config: Value = serde_json::from_str(text).map_err(|e| format!("not JSON: {e}"))?;
     check_loads(&config)?;
-    let (mut set, mut left) = (Vec::new(), Vec::new());
+    let (mut changed, mut not_converted) = (Vec::new(), Vec::new());
     let has_rates = is_rate_kind(config["settings"]["weightKind"].as_str());
     let retry_after = retry_after.map(|may| ("/settings/allowed/retryAfter", json!(may)));
     for (path, value) in new_format().into_iter().chain(retry_after) {
-        put(&mut config, path, value, &mut set)?;
+        put(&mut config, path, value, &mut changed)?;
     }
     if !has_rates {
         let mut sizes = 0;
@@ -54,7 +57,7 @@
         {
             sizes += member.remove("size").is_some() as usize;
         }
-        left.push(format!(
+        not_converted.push(format!(
             "known: {sizes} sizes are no rates and are dropped; discovery has to provide each destination's rate as `size`"
         ));
     }
@@ -77,7 +80,7 @@
         if price.is_some_and(|v| {
             is_nonzero(v) || v.as_array().is_some_and(|all| all.iter().any(is_nonzero))
         }) {
-            left.push(format!("{}: kept, but {what}", key(path)));
+            not_converted.push(format!("{}: kept, but {what}", key(path)));
         }
     }
     if config
@@ -85,7 +88,7 @@
         .and_then(Value::as_array)
         .is_none_or(Vec::is_empty)
     {
-        left.push(
+        not_converted.push(
             "settings.projects: no members are configured; all events count as within their quota"
                 .into(),
         );
@@ -93,7 +96,11 @@
     check_loads(&config).map_err(|e| {
         format!("a forwarder would not start with the converted configuration: {e}")
     })?;
-    Ok(Converted { config, set, left })
+    Ok(Converted {
+        config,
+        changed,
+        not_converted,
+    })
 }
 
 /// Checks that a forwarder would start with the configuration, given a state folder, which no file names.
@@ -102,7 +109,12 @@
     parse_config(root, |name| (name == "PROXY_STATE").then(|| ".".into())).map(|_| ())
 }
 
-fn put(config: &mut Value, path: &str, value: Value, set: &mut Vec<String>) -> ConfigResult<()> {
+fn put(
+    config: &mut Value,
+    path: &str,
+    value: Value,
+    changed: &mut Vec<String>,
+) -> ConfigResult<()> {
     let before = config.pointer(path).cloned().unwrap_or_default();
     if before == value {
         return Ok(());
@@ -120,7 +132,7 @@
             .ok_or_else(|| format!("{}: not in an object", key(path)))?;
         place = table.entry(step).or_insert(Value::Null);
     }
-    set.push(format!("{}: {before} is {value} now", key(path)));
+    changed.push(format!("{}: {before} is {value} now", key(path)));
     *place = value;
     Ok(())
 }
--- a/forwarder/config/src/decisions.rs
+++ b/forwarder/config/src/decisions.rs
@@ -14,14 +14,14 @@
     /// The sizes in the endpoint list are the rates that destinations accept, in calls per second.
     pub sizes_are_rates: bool,
     /// The column of a load report with the share of its limit that a target has left.
-    pub left_at: Option<usize>,
+    pub limit_remaining_column: Option<usize>,
     /// Set if changes of the endpoint list are sent only on request: the time in milliseconds within which to
     /// request them again.
-    pub ask_within: Option<Ms>,
+    pub list_request_interval: Option<Ms>,
 }
 
 /// The name, in load reports, of the share of its limit that a target has left.
-pub const LEFT: &str = "x0";
+pub const LIMIT_REMAINING_COLUMN: &str = "x0";
 
 /// Reads the configuration of the decision module from the settings at `path`.
 pub fn decision_config(
@@ -60,15 +60,18 @@
     let report = present(env, "report")
         .and_then(|r| r.get("columns"))
         .and_then(Value::as_array);
-    let left_at = report.and_then(|all| all.iter().position(|column| column == LEFT));
+    let limit_remaining_column = report.and_then(|all| {
+        all.iter()
+            .position(|column| column == LIMIT_REMAINING_COLUMN)
+    });
     let mut names = Names {
         traffic: Vec::new(),
         kinds: names_of("shapes")?,
         zones: names_of("zones")?,
         members,
         sizes_are_rates: is_rate_kind(optional_text(env, "weightKind")?),
-        left_at,
-        ask_within: match optional_text(env, "discovery")? {
+        limit_remaining_column,
+        list_request_interval: match optional_text(env, "discovery")? {
             Some("on_request") => {
                 Some(optional_time(rules, "askWithinUs").map_err(within("rules"))?)
             }
@@ -77,7 +80,7 @@
         },
     };
     if let Some(zone) = optional_text(env, "zone")? {
-        place(&names.zones, zone, "zone")?;
+        position_of(&names.zones, zone, "zone")?;
     }
     let mut traffic = Vec::new();
     for (at, profile) in non_empty_list(env, "profiles")?.iter().enumerate() {
@@ -106,7 +109,7 @@
     let flag = |field: &str| allowed.get(field) == Some(&Value::Bool(true));
     let config = DecisionConfig {
         seed,
-        instance: whole(env, "me")?,
+        instance: unsigned(env, "me")?,
         forwarder_count: number(env, "balancers")?,
         traffic_types: traffic,
         destination_kinds: kinds,
@@ -144,7 +147,7 @@
     let traffic = TrafficType {
         idempotency: effect,
         soft_limit: time(profile, "aimUs")?,
-        patience: time(profile, "deadlineUs")?,
+        time_to_deadline: time(profile, "deadlineUs")?,
         value: number(profile, "credit")?,
         value_at_end: number(profile, "lateWorth")?,
         ordered: profile.get("serialByKey") == Some(&Value::Bool(true)),
--- a/forwarder/config/src/experiment.rs
+++ b/forwarder/config/src/experiment.rs
@@ -99,10 +99,10 @@
     pub fn read(text: &Text) -> Result<Experiment, String> {
         let experiment: Experiment = text.deserialize()?;
         if experiment.seeds == 0 {
-            return Err(text.wrong("seeds", "0 is not allowed; must be 1 or more"));
+            return Err(text.error_at("seeds", "0 is not allowed; must be 1 or more"));
         }
         if experiment.variants.is_empty() {
-            return Err(text.wrong("variants", "at least one [[variants]] is required"));
+            return Err(text.error_at("variants", "at least one [[variants]] is required"));
         }
         for (at, variant) in experiment.variants.iter().enumerate() {
             if experiment.variants[..at]
@@ -110,12 +110,12 @@
                 .any(|other| other.name == variant.name)
             {
                 let key = format!("variants[{at}].name");
-                return Err(text.wrong(&key, &format!("{:?} is listed twice", variant.name)));
+                return Err(text.error_at(&key, &format!("{:?} is listed twice", variant.name)));
             }
         }
         for (at, sweep) in experiment.sweep.iter().enumerate() {
             if sweep.values.is_empty() {
-                return Err(text.wrong(
+                return Err(text.error_at(
                     &format!("sweep[{at}].values"),
                     "at least one value is required",
                 ));
--- a/forwarder/config/src/fanout.rs
+++ b/forwarder/config/src/fanout.rs
@@ -100,19 +100,19 @@
         return Ok(None);
     };
     if fleet.voters.is_empty() {
-        return Err(file.wrong(
+        return Err(file.error_at(
             "fanout",
             "requires the control group, but control.voters is empty",
         ));
     }
     if !fleet.pools.is_empty() {
         // The control group's log records either leases or broadcasts; both together are not supported yet.
-        return Err(file.wrong("fanout", "cannot be combined with a section pools"));
+        return Err(file.error_at("fanout", "cannot be combined with a section pools"));
     }
     if fleet.replication.is_some() {
         // An instance that takes over a record would deliver copies that the control group has not assigned to that
         // instance.
-        return Err(file.wrong("fanout", "cannot be combined with a section copies"));
+        return Err(file.error_at("fanout", "cannot be combined with a section copies"));
     }
     if traffic.iter().any(|name| name == BROADCAST) {
         return Err(format!(
@@ -134,7 +134,7 @@
         } else {
             format!("fanout.{inner}")
         };
-        file.wrong(
+        file.error_at(
             &key,
             &e.inner()
                 .message()
@@ -145,7 +145,7 @@
     })?;
     check(section)
         .map(Some)
-        .map_err(|(key, why)| file.wrong(&format!("fanout.{key}"), &why))
+        .map_err(|(key, why)| file.error_at(&format!("fanout.{key}"), &why))
 }
 
 type Fault = (String, String);
--- a/forwarder/config/src/fields.rs
+++ b/forwarder/config/src/fields.rs
@@ -6,7 +6,7 @@
 pub type ConfigResult<T> = Result<T, String>;
 pub type Object = Map<String, Value>;
 
-pub fn place(names: &[String], name: &str, field: &str) -> ConfigResult<usize> {
+pub fn position_of(names: &[String], name: &str, field: &str) -> ConfigResult<usize> {
     names
         .iter()
         .position(|n| n == name)
@@ -59,7 +59,7 @@
     optional_text(from, field)?.ok_or_else(|| format!("{field}: is missing"))
 }
 
-pub fn optional_whole(from: &Object, field: &str) -> ConfigResult<Option<u64>> {
+pub fn optional_unsigned(from: &Object, field: &str) -> ConfigResult<Option<u64>> {
     present(from, field)
         .map(|v| {
             v.as_u64()
@@ -68,13 +68,13 @@
         .transpose()
 }
 
-pub fn whole(from: &Object, field: &str) -> ConfigResult<u64> {
-    optional_whole(from, field)?.ok_or_else(|| format!("{field}: is missing"))
+pub fn unsigned(from: &Object, field: &str) -> ConfigResult<u64> {
+    optional_unsigned(from, field)?.ok_or_else(|| format!("{field}: is missing"))
 }
 
 /// A whole number of one or more.
 pub fn count(from: &Object, field: &str) -> ConfigResult<u64> {
-    Some(whole(from, field)?)
+    Some(unsigned(from, field)?)
         .filter(|number| *number > 0)
         .ok_or_else(|| format!("{field}: is 0"))
 }
--- a/forwarder/config/src/fleet.rs
+++ b/forwarder/config/src/fleet.rs
@@ -22,12 +22,12 @@
     pub timing: Timing,
     /// `None`: records are not replicated.
     pub replication: Option<ReplicationConfig>,
-    /// Names of the control group's voters. The first one creates the group if `found` is set.
+    /// Names of the control group's voters. The first one creates the group if `may_create_control_group` is set.
     pub voters: Vec<String>,
     pub pools: toml::Table,
     pub fanout: toml::Table,
     /// `PROXY_FLEET_FOUND=yes`: the first voter may create the control group.
-    pub found: bool,
+    pub may_create_control_group: bool,
 }
 
 impl FleetConfig {
@@ -68,7 +68,7 @@
     let text = std::fs::read_to_string(&path);
     let text = text.map_err(|e| format!("PROXY_FLEET: {path} cannot be read: {e}"))?;
     let mut fleet = read(&text).map_err(|e| format!("{path}: {e}"))?;
-    fleet.found = match variable("PROXY_FLEET_FOUND").as_deref() {
+    fleet.may_create_control_group = match variable("PROXY_FLEET_FOUND").as_deref() {
         None | Some("no") => false,
         Some("yes") => true,
         Some(word) => return Err(format!("PROXY_FLEET_FOUND: {word:?} is neither yes nor no")),
@@ -136,6 +136,6 @@
         voters,
         pools: file.pools,
         fanout: file.fanout,
-        found: false,
+        may_create_control_group: false,
     })
 }
--- a/forwarder/config/src/lib.rs
+++ b/forwarder/config/src/lib.rs
@@ -17,7 +17,7 @@
 use plankhill_decisions::interface::*;
 use serde_json::Value;
 
-pub use decisions::{decision_config, order_key, Names, LEFT};
+pub use decisions::{decision_config, order_key, Names, LIMIT_REMAINING_COLUMN};
 use fields::*;
 
 /// The configuration of a forwarder on sockets.
--- a/forwarder/config/src/scenario.rs
+++ b/forwarder/config/src/scenario.rs
@@ -526,7 +526,7 @@
     /// Deserializes and checks a scenario. An error is one line with file, line, key and what is allowed.
     pub fn read(text: &Text) -> Result<Scenario, String> {
         let mut scenario: Scenario = text.deserialize()?;
-        check::check(&scenario).map_err(|(key, what)| text.wrong(&key, &what))?;
+        check::check(&scenario).map_err(|(key, what)| text.error_at(&key, &what))?;
         if let Some(most) = scenario.max_faults {
             scenario.faults.truncate(most);
         }
--- a/forwarder/config/src/tables.rs
+++ b/forwarder/config/src/tables.rs
@@ -85,12 +85,12 @@
             let hint = nearest
                 .map(|known| format!("; did you mean `{known}`?"))
                 .unwrap_or_default();
-            self.wrong(&key, &format!("{message}{hint}"))
+            self.error_at(&key, &format!("{message}{hint}"))
         })
     }
 
     /// The message for a key whose value is not allowed.
-    pub fn wrong(&self, key: &str, what: &str) -> String {
+    pub fn error_at(&self, key: &str, what: &str) -> String {
         let key = key.trim_start_matches("?.").trim_end_matches(".?");
         if self.set.iter().any(|set| *set == dotted(key)) {
             return format!("--set {}: {what}", dotted(key));
--- a/forwarder/config/tests/config.rs
+++ b/forwarder/config/tests/config.rs
@@ -68,7 +68,7 @@
     let loaded = read("defaults", &config()).expect("right");
     assert!(
         !loaded.names.sizes_are_rates
-            && loaded.names.left_at.is_none()
+            && loaded.names.limit_remaining_column.is_none()
             && loaded.names.members.is_empty()
     );
     assert!(
@@ -101,7 +101,7 @@
     let loaded = read("new", &config).expect("right");
     assert!(
         loaded.names.sizes_are_rates
-            && loaded.names.left_at == Some(1)
+            && loaded.names.limit_remaining_column == Some(1)
             && loaded.names.members == ["a"]
     );
     assert_eq!(
--- a/forwarder/config/tests/pools.rs
+++ b/forwarder/config/tests/pools.rs
@@ -19,8 +19,8 @@
         zones: vec!["north".into()],
         members: Vec::new(),
         sizes_are_rates: false,
-        left_at: None,
-        ask_within: None,
+        limit_remaining_column: None,
+        list_request_interval: None,
     }
 }
 
--- a/forwarder/connection-quotas/examples/fleet/leased.rs
+++ b/forwarder/connection-quotas/examples/fleet/leased.rs
@@ -57,7 +57,7 @@
             local
         };
         let mut locals: Vec<LocalQuotas> = (0..FORWARDERS).map(local).collect();
-        locals[0].leads(0.0, 1, &LeaseTable::default().snapshot());
+        locals[0].became_leader(0.0, 1, &LeaseTable::default().snapshot());
         let pools = (0..TARGETS)
             .map(|target| PoolId::Target(name(target)))
             .collect();
@@ -131,7 +131,7 @@
             .filter_map(|(_, report)| self.locals[0].reported(now, report))
             .collect();
         if now % 100.0 == 0.0 {
-            commands.extend(self.locals[0].due(now));
+            commands.extend(self.locals[0].due_commands(now));
         }
         self.log
             .extend(commands.iter().map(|command| (now + 20.0, encode(command))));
--- a/forwarder/connection-quotas/src/local/control_group.rs
+++ b/forwarder/connection-quotas/src/local/control_group.rs
@@ -22,7 +22,7 @@
 
     /// Replaces the table by a snapshot, which was received instead of skipped commands. A lease among the skipped
     /// commands is not taken over; the next report requests a new one.
-    pub fn replaced(&mut self, state: &[u8]) {
+    pub fn snapshot_installed(&mut self, state: &[u8]) {
         if let Ok(table) = LeaseTable::restore(state) {
             self.table = table;
             self.update_standing();
@@ -31,8 +31,8 @@
 
     /// Starts issuing leases, as this instance was elected leader of the control group. `state` is a snapshot of the
     /// table with all commands committed before the election. The table itself refuses commands of earlier terms.
-    pub fn leads(&mut self, now: f64, _term: u64, state: &[u8]) {
-        self.replaced(state);
+    pub fn became_leader(&mut self, now: f64, _term: u64, state: &[u8]) {
+        self.snapshot_installed(state);
         self.issuer = Some(LeaseIssuer::new(now, self.grace, &self.table));
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// The commands to propose now, if this instance leads.
-    pub fn due(&mut self, now: f64) -> Vec<Command> {
+    pub fn due_commands(&mut self, now: f64) -> Vec<Command> {
         let Some(issuer) = &mut self.issuer else {
             return Vec::new();
         };
@@ -68,7 +68,7 @@
     }
 
     /// Records that a proposal of this instance was never made or will never be committed.
-    pub fn void(&mut self, command: &Command) {
+    pub fn proposal_discarded(&mut self, command: &Command) {
         if let Some(issuer) = &mut self.issuer {
             issuer.discarded(command);
         }
--- a/forwarder/connection-quotas/tests/local.rs
+++ b/forwarder/connection-quotas/tests/local.rs
@@ -55,7 +55,7 @@
             b: local("b"),
         };
         let empty_table = plankhill_connection_quotas::leases::LeaseTable::default().snapshot();
-        fleet.a.leads(0.0, 1, &empty_table);
+        fleet.a.became_leader(0.0, 1, &empty_table);
         fleet.exchange(4);
         fleet
     }
@@ -76,7 +76,7 @@
     fn exchange(&mut self, times: usize) {
         for _ in 0..times {
             self.now += 300.0;
-            let due = self.a.due(self.now);
+            let due = self.a.due_commands(self.now);
             self.apply(due);
             for report in [self.a.report(self.now), self.b.report(self.now)] {
                 let command = report.and_then(|report| self.a.reported(self.now, &report));
--- a/forwarder/emulator/src/world/mod.rs
+++ b/forwarder/emulator/src/world/mod.rs
@@ -84,7 +84,7 @@
         let bounds = Bounds {
             drain_grace: rules.grace,
             key_cooldown: rules.key_cooldown,
-            effects_remembered_for: 2.0 * scenario.longest_patience() + 120_000.0,
+            effect_retention: 2.0 * scenario.longest_patience() + 120_000.0,
             ..Bounds::default()
         };
         let (destinations, targets, lanes) = destinations::build(scenario, &affected, seed);
--- a/forwarder/emulator/src/world/process_start.rs
+++ b/forwarder/emulator/src/world/process_start.rs
@@ -48,7 +48,7 @@
                 },
             },
             soft_limit: of.soft_limit,
-            patience: of.patience,
+            time_to_deadline: of.patience,
             value: of.payoff,
             value_at_end: of.payoff_at_end,
             ordered: of.ordered,
--- a/forwarder/experiments/src/compare.rs
+++ b/forwarder/experiments/src/compare.rs
@@ -4,7 +4,7 @@
 use plankhill_forwarder_config::experiment::Measure;
 
 use crate::days::{Plan, Record};
-use crate::folder::Stopped;
+use crate::folder::ExperimentError;
 
 /// A mean with its 95% interval.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -124,20 +124,20 @@
         .collect()
 }
 
-fn csv(rows: Vec<Vec<String>>) -> Result<Vec<u8>, Stopped> {
+fn csv(rows: Vec<Vec<String>>) -> Result<Vec<u8>, ExperimentError> {
     let mut writer = csv::Writer::from_writer(Vec::new());
     for row in rows {
         writer
             .write_record(&row)
-            .map_err(|e| Stopped::Outside(e.to_string()))?;
+            .map_err(|e| ExperimentError::Io(e.to_string()))?;
     }
     writer
         .into_inner()
-        .map_err(|e| Stopped::Outside(e.to_string()))
+        .map_err(|e| ExperimentError::Io(e.to_string()))
 }
 
 /// A row for each day.
-pub fn days_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, Stopped> {
+pub fn days_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, ExperimentError> {
     let keys = plan.experiment.sweep.iter().map(|sweep| sweep.key.clone());
     let mut head: Vec<String> = vec!["variant".into()];
     head.extend(keys);
@@ -218,7 +218,7 @@
 }
 
 /// A row for each variant at each point: its payoff, and its difference from the first variant.
-pub fn compare_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, Stopped> {
+pub fn compare_csv(plan: &Plan, records: &[Record]) -> Result<Vec<u8>, ExperimentError> {
     let mut head: Vec<String> = vec!["variant".into()];
     head.extend(plan.experiment.sweep.iter().map(|sweep| sweep.key.clone()));
     let names = [
--- a/forwarder/experiments/src/folder.rs
+++ b/forwarder/experiments/src/folder.rs
@@ -10,13 +10,13 @@
 
 /// Why an experiment did not complete.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Stopped {
+pub enum ExperimentError {
     /// The input is invalid.
-    Given(String),
+    InvalidInput(String),
     /// A file could not be read or written.
-    Outside(String),
+    Io(String),
     /// The run was asked to stop.
-    Asked,
+    Interrupted,
 }
 
 pub struct Folder {
@@ -31,22 +31,24 @@
 
 impl Folder {
     /// Opens a folder for a plan: a new or empty folder, or one in which the same plan was begun.
-    pub fn open(path: &Path, plan: &Plan) -> Result<Folder, Stopped> {
+    pub fn open(path: &Path, plan: &Plan) -> Result<Folder, ExperimentError> {
         let name = path.display();
         let outside = |what: &str| {
             let what = what.to_owned();
-            move |e: std::io::Error| Stopped::Outside(format!("{what}: {e}"))
+            move |e: std::io::Error| ExperimentError::Io(format!("{what}: {e}"))
         };
         fs::create_dir_all(path).map_err(outside(&name.to_string()))?;
         let mut entries = fs::read_dir(path).map_err(outside(&name.to_string()))?;
         if entries.next().is_some() {
             let begun = fs::read_to_string(path.join(EXPERIMENT));
             let begun = begun.map_err(|_| {
-                Stopped::Given(format!("{name}: holds something else than an experiment"))
+                ExperimentError::InvalidInput(format!(
+                    "{name}: holds something else than an experiment"
+                ))
             })?;
             let scenario = fs::read_to_string(path.join(SCENARIO)).unwrap_or_default();
             if begun != plan.experiment_text || scenario != plan.scenario_text {
-                return Err(Stopped::Given(format!(
+                return Err(ExperimentError::InvalidInput(format!(
                     "{name}: holds another experiment, or another version of this one"
                 )));
             }
@@ -71,27 +73,27 @@
         self.completed.contains(&day.number)
     }
 
-    pub fn held(&self) -> usize {
+    pub fn completed_days(&self) -> usize {
         self.completed.len()
     }
 
     /// Appends the record with one write, so that an interrupted run leaves at most one incomplete line.
-    pub fn append(&self, record: &Record) -> Result<(), Stopped> {
-        let mut line =
-            serde_json::to_string(record).map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?;
+    pub fn append(&self, record: &Record) -> Result<(), ExperimentError> {
+        let mut line = serde_json::to_string(record)
+            .map_err(|e| ExperimentError::Io(format!("{DAYS}: {e}")))?;
         line.push('\n');
         let mut days = self.days.lock().expect("no writer panics");
         days.write_all(line.as_bytes())
-            .map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))
+            .map_err(|e| ExperimentError::Io(format!("{DAYS}: {e}")))
     }
 
     /// Rewrites the file of records in the order of their days, and returns the records.
-    pub fn finish(&self, plan: &Plan) -> Result<Vec<Record>, Stopped> {
+    pub fn finish(&self, plan: &Plan) -> Result<Vec<Record>, ExperimentError> {
         let mut records = read(&self.path)?;
         records.sort_by_key(|record| record.number);
         if records.len() != plan.days.len() {
             let (is, all) = (records.len(), plan.days.len());
-            return Err(Stopped::Outside(format!(
+            return Err(ExperimentError::Io(format!(
                 "{DAYS}: holds {is} of {all} days"
             )));
         }
@@ -100,7 +102,7 @@
             .map(serde_json::to_string)
             .collect::<Result<Vec<_>, _>>();
         let mut text = lines
-            .map_err(|e| Stopped::Outside(format!("{DAYS}: {e}")))?
+            .map_err(|e| ExperimentError::Io(format!("{DAYS}: {e}")))?
             .join("\n");
         text.push('\n');
         self.write(DAYS, text.as_bytes())?;
@@ -108,34 +110,39 @@
     }
 
     /// Writes a file atomically.
-    pub fn write(&self, name: &str, bytes: &[u8]) -> Result<(), Stopped> {
+    pub fn write(&self, name: &str, bytes: &[u8]) -> Result<(), ExperimentError> {
         write_atomically(&self.path, name, bytes)
     }
 }
 
-pub(crate) fn write_atomically(folder: &Path, name: &str, bytes: &[u8]) -> Result<(), Stopped> {
+pub(crate) fn write_atomically(
+    folder: &Path,
+    name: &str,
+    bytes: &[u8],
+) -> Result<(), ExperimentError> {
     let new = folder.join(format!("{name}.new"));
     let written = fs::write(&new, bytes).and_then(|()| fs::rename(&new, folder.join(name)));
-    written.map_err(|e| Stopped::Outside(format!("{name}: {e}")))
+    written.map_err(|e| ExperimentError::Io(format!("{name}: {e}")))
 }
 
 /// The texts of a folder's experiment and scenario.
-pub(crate) fn read_inputs(folder: &Path) -> Result<(String, String), Stopped> {
+pub(crate) fn read_inputs(folder: &Path) -> Result<(String, String), ExperimentError> {
     let read = |name: &str| {
         let path = folder.join(name);
-        fs::read_to_string(&path).map_err(|e| Stopped::Given(format!("{}: {e}", path.display())))
+        fs::read_to_string(&path)
+            .map_err(|e| ExperimentError::InvalidInput(format!("{}: {e}", path.display())))
     };
     Ok((read(EXPERIMENT)?, read(SCENARIO)?))
 }
 
 /// The records of a folder.
-pub fn read(folder: &Path) -> Result<Vec<Record>, Stopped> {
+pub fn read(folder: &Path) -> Result<Vec<Record>, ExperimentError> {
     let path = folder.join(DAYS);
     let text = fs::read_to_string(&path)
-        .map_err(|e| Stopped::Given(format!("{}: {e}", path.display())))?;
+        .map_err(|e| ExperimentError::InvalidInput(format!("{}: {e}", path.display())))?;
     let lines = text.lines().enumerate();
     let records = lines.map(|(at, line)| {
-        let what = |e| Stopped::Given(format!("{}:{}: {e}", path.display(), at + 1));
+        let what = |e| ExperimentError::InvalidInput(format!("{}:{}: {e}", path.display(), at + 1));
         serde_json::from_str(line).map_err(what)
     });
     records.collect()
@@ -143,8 +150,8 @@
 
 /// Reads the numbers of the days that an earlier run completed. An incomplete last line is truncated; its day is
 /// simulated again.
-fn recover(path: &Path, plan: &Plan) -> Result<HashSet<usize>, Stopped> {
-    let outside = |e: std::io::Error| Stopped::Outside(format!("{}: {e}", path.display()));
+fn recover(path: &Path, plan: &Plan) -> Result<HashSet<usize>, ExperimentError> {
+    let outside = |e: std::io::Error| ExperimentError::Io(format!("{}: {e}", path.display()));
     let Ok(bytes) = fs::read(path) else {
         return Ok(HashSet::new());
     };
@@ -163,7 +170,7 @@
         .enumerate()
     {
         let record: Record = serde_json::from_slice(line).map_err(|e| {
-            Stopped::Given(format!(
+            ExperimentError::InvalidInput(format!(
                 "{}:{}: not a record of a day: {e}",
                 path.display(),
                 at + 1
@@ -173,7 +180,10 @@
             let (then, now) = (record.commit, &plan.commit);
             let what =
                 format!("was begun with commit {then}, the current commit is {now}: days of different commits cannot be combined");
-            return Err(Stopped::Given(format!("{}: {what}", path.display())));
+            return Err(ExperimentError::InvalidInput(format!(
+                "{}: {what}",
+                path.display()
+            )));
         }
         completed.insert(record.number);
     }
--- a/forwarder/experiments/src/lib.rs
+++ b/forwarder/experiments/src/lib.rs
@@ -11,7 +11,7 @@
 pub mod shipped;
 
 pub use days::{Day, Plan, Record};
-pub use folder::{Folder, Stopped};
+pub use folder::{ExperimentError, Folder};
 
 use std::sync::atomic::{AtomicBool, Ordering};
 
@@ -26,14 +26,14 @@
     jobs: usize,
     stop: &AtomicBool,
     done: impl Fn() + Sync,
-) -> Result<(), Stopped> {
+) -> Result<(), ExperimentError> {
     let missing: Vec<&Day> = plan.days.iter().filter(|day| !folder.has(day)).collect();
     let pool = rayon::ThreadPoolBuilder::new().num_threads(jobs).build();
-    let pool = pool.map_err(|e| Stopped::Outside(format!("cannot start threads: {e}")))?;
+    let pool = pool.map_err(|e| ExperimentError::Io(format!("cannot start threads: {e}")))?;
     pool.install(|| {
         missing.par_iter().try_for_each(|day| {
             if stop.load(Ordering::Relaxed) {
-                return Err(Stopped::Asked);
+                return Err(ExperimentError::Interrupted);
             }
             folder.append(&plan.play(day))?;
             done();
--- a/forwarder/experiments/src/report.rs
+++ b/forwarder/experiments/src/report.rs
@@ -12,27 +12,27 @@
 use crate::compare::{cells, estimate, measure, paired_differences, payoff, Cell};
 use crate::days::Record;
 use crate::figures::{self, Line, SweepSeries};
-use crate::folder::{self, Stopped};
+use crate::folder::{self, ExperimentError};
 
 /// Writes `report.html` into the folder of an experiment, from the days recorded so far.
-pub fn write(dir: &Path) -> Result<(), Stopped> {
+pub fn write(dir: &Path) -> Result<(), ExperimentError> {
     let (experiment, _) = folder::read_inputs(dir)?;
     let text = Text::parse(
         dir.join("experiment.toml").display().to_string(),
         experiment,
     )
-    .map_err(Stopped::Given)?;
-    let experiment = Experiment::read(&text).map_err(Stopped::Given)?;
+    .map_err(ExperimentError::InvalidInput)?;
+    let experiment = Experiment::read(&text).map_err(ExperimentError::InvalidInput)?;
     let mut records = folder::read(dir)?;
     if records.is_empty() {
-        return Err(Stopped::Given(format!(
+        return Err(ExperimentError::InvalidInput(format!(
             "{}: no day has been simulated yet",
             dir.display()
         )));
     }
     records.sort_by_key(|record| record.number);
-    let page =
-        page(&experiment, &records).map_err(|e| Stopped::Outside(format!("report.html: {e}")))?;
+    let page = page(&experiment, &records)
+        .map_err(|e| ExperimentError::Io(format!("report.html: {e}")))?;
     folder::write_atomically(dir, "report.html", page.as_bytes())
 }
 
--- a/forwarder/experiments/tests/folders.rs
+++ b/forwarder/experiments/tests/folders.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 use plankhill_experiments::compare::estimate;
-use plankhill_experiments::{report, run, shipped, Folder, Plan, Stopped};
+use plankhill_experiments::{report, run, shipped, ExperimentError, Folder, Plan};
 use plankhill_forwarder_config::experiment::Experiment;
 use plankhill_forwarder_config::scenario::Scenario;
 use plankhill_forwarder_config::tables::Text;
@@ -66,7 +66,7 @@
     }
 }
 
-fn play(folder: &TempFolder, jobs: usize, most: usize) -> Result<(), Stopped> {
+fn play(folder: &TempFolder, jobs: usize, most: usize) -> Result<(), ExperimentError> {
     let plan = plan();
     let folder = Folder::open(&folder.0, &plan)?;
     let (stop, played) = (AtomicBool::new(most == 0), AtomicUsize::new(0));
@@ -86,7 +86,7 @@
     );
     play(&one, 1, usize::MAX).expect("played");
     play(&four, 4, usize::MAX).expect("played");
-    assert_eq!(play(&interrupted, 1, 3), Err(Stopped::Asked));
+    assert_eq!(play(&interrupted, 1, 3), Err(ExperimentError::Interrupted));
     // A power failure left the last line incomplete.
     let days = interrupted.0.join("days.jsonl");
     let bytes = fs::read(&days).expect("begun");
@@ -105,7 +105,9 @@
     fs::create_dir_all(&folder.0).expect("made");
     fs::write(folder.0.join("letter.txt"), "dear").expect("written");
     let error = play(&folder, 1, usize::MAX).expect_err("refused");
-    assert!(matches!(error, Stopped::Given(what) if what.contains("something else")));
+    assert!(
+        matches!(error, ExperimentError::InvalidInput(what) if what.contains("something else"))
+    );
     assert_eq!(fs::read_dir(&folder.0).expect("there").count(), 1);
 }
 
@@ -116,7 +118,7 @@
     let before = folder.bytes();
     fs::write(folder.0.join("experiment.toml"), "about = \"else\"").expect("written");
     assert!(
-        matches!(play(&folder, 1, usize::MAX), Err(Stopped::Given(what)) if what.contains("another"))
+        matches!(play(&folder, 1, usize::MAX), Err(ExperimentError::InvalidInput(what)) if what.contains("another"))
     );
     assert_eq!(folder.bytes(), before);
 }
--- a/forwarder/fanout/examples/lag/instance.rs
+++ b/forwarder/fanout/examples/lag/instance.rs
@@ -17,7 +17,7 @@
     let traffic = TrafficType {
         idempotency: Idempotency::Idempotent,
         soft_limit: 1000.0,
-        patience,
+        time_to_deadline: patience,
         value: 1.0,
         value_at_end: 0.2,
         ordered: false,
@@ -112,7 +112,7 @@
         for command in &log[self.applied..] {
             for request in self
                 .local_instance
-                .applied(now, &self.effects, command.clone())
+                .apply_command(now, &self.effects, command.clone())
             {
                 match request {
                     HostRequest::Submit {
--- a/forwarder/fanout/examples/lag/simulation.rs
+++ b/forwarder/fanout/examples/lag/simulation.rs
@@ -190,7 +190,8 @@
                 .instances
                 .iter()
                 .filter(|i| i.stalled_until <= self.now);
-            let reachable: Vec<InstanceId> = reachable.map(|i| i.local_instance.me()).collect();
+            let reachable: Vec<InstanceId> =
+                reachable.map(|i| i.local_instance.instance_id()).collect();
             for command in
                 self.coordinator
                     .poll_commands(self.now, &self.log_state, &reachable, 1000.0)
--- a/forwarder/fanout/src/copies.rs
+++ b/forwarder/fanout/src/copies.rs
@@ -10,7 +10,7 @@
     /// available before the broadcast is proposed.
     pub fn check_broadcast(&self, broadcast: &Broadcast) -> Result<(), Rejection> {
         let id = &broadcast.id;
-        if id.0.is_empty() || id.0.len() > BroadcastId::LONGEST {
+        if id.0.is_empty() || id.0.len() > BroadcastId::MAX_LEN {
             return Err(Rejection::BadId);
         }
         let members = self
--- a/forwarder/fanout/src/host.rs
+++ b/forwarder/fanout/src/host.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum HostRequest {
     /// Submit the event to the decision module, once it is recorded like any other event;
-    /// [`crate::LocalInstance::fields`] has its other fields.
+    /// [`crate::LocalInstance::broadcast`] has its other fields.
     Submit {
         event: EventId,
         subscriber: Subscriber,
--- a/forwarder/fanout/src/local_instance.rs
+++ b/forwarder/fanout/src/local_instance.rs
@@ -79,7 +79,7 @@
         &self.state
     }
 
-    pub fn me(&self) -> InstanceId {
+    pub fn instance_id(&self) -> InstanceId {
         self.me
     }
 
@@ -103,7 +103,7 @@
         let assigned = self.state.assigned_copies(self.me);
         let unknown = assigned
             .into_iter()
-            .filter(|(s, p, _)| !self.holds((*s, *p)))
+            .filter(|(s, p, _)| !self.has_copy((*s, *p)))
             .collect::<Vec<_>>();
         unknown
             .into_iter()
@@ -140,7 +140,12 @@
     }
 
     /// Replaces the complete state when commands were missed.
-    pub fn replaced(&mut self, now: Ms, host: &impl Host, state: FanoutState) -> Vec<HostRequest> {
+    pub fn install_snapshot(
+        &mut self,
+        now: Ms,
+        host: &impl Host,
+        state: FanoutState,
+    ) -> Vec<HostRequest> {
         self.state = state;
         self.drop_unassigned();
         let mut requests = self.take_over(now, host);
@@ -158,12 +163,17 @@
 
     /// Whether the copy is still assigned to this instance, to deliver it or to report its outcome. The host
     /// checks this again before it executes a request, since several commands may have been applied at once.
-    pub fn holds(&self, copy: CopyKey) -> bool {
+    pub fn has_copy(&self, copy: CopyKey) -> bool {
         self.copies.contains_key(&copy)
     }
 
     /// Applies the next command of the log and returns what the host is to do.
-    pub fn applied(&mut self, now: Ms, host: &impl Host, command: Command) -> Vec<HostRequest> {
+    pub fn apply_command(
+        &mut self,
+        now: Ms,
+        host: &impl Host,
+        command: Command,
+    ) -> Vec<HostRequest> {
         if let Command::Ended { by, process, ends } = &command {
             if self.is_this_process(*by, *process) {
                 for end in ends {
@@ -263,7 +273,7 @@
     }
 
     /// The broadcast at this position, while one of its copies has not ended.
-    pub fn fields(&self, position: Position) -> Option<&Broadcast> {
+    pub fn broadcast(&self, position: Position) -> Option<&Broadcast> {
         self.state.broadcast(position)
     }
 
--- a/forwarder/fanout/src/local_instance/polling.rs
+++ b/forwarder/fanout/src/local_instance/polling.rs
@@ -25,7 +25,7 @@
 impl LocalInstance {
     /// Submits the broadcast of a client. [`crate::HostRequest::Accepted`] or `Rejected` follows with the
     /// returned number.
-    pub fn attempt(&mut self, now: Ms, broadcast: Broadcast) -> Result<u64, Rejection> {
+    pub fn submit_broadcast(&mut self, now: Ms, broadcast: Broadcast) -> Result<u64, Rejection> {
         self.state.check_broadcast(&broadcast)?;
         if !self.started || self.submissions.len() >= MAX_SUBMISSIONS {
             return Err(Rejection::Full);
@@ -58,7 +58,7 @@
     }
 
     /// Whether the log has the end of each copy that was assigned here.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_no_copies(&self) -> bool {
         self.copies.is_empty()
     }
 
--- a/forwarder/fanout/src/names.rs
+++ b/forwarder/fanout/src/names.rs
@@ -10,14 +10,14 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ListName(pub String);
 
-/// The id that the client gave with `Req-Id`; at most [`BroadcastId::LONGEST`] bytes.
+/// The id that the client gave with `Req-Id`; at most [`BroadcastId::MAX_LEN`] bytes.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct BroadcastId(pub String);
 
 impl BroadcastId {
     /// In bytes. An event id has at most 128; a copy's id adds a separator and up to 20 digits of the
     /// destination.
-    pub const LONGEST: usize = 107;
+    pub const MAX_LEN: usize = 107;
 }
 
 /// A group of subscribers that one instance serves. Unrelated to a Raft group, which is a log and its voters.
--- a/forwarder/fanout/src/state.rs
+++ b/forwarder/fanout/src/state.rs
@@ -123,7 +123,7 @@
     }
 
     /// Whether the lists, cohorts and bounds are those of `layout`.
-    pub fn is_laid(&self, layout: &Layout) -> bool {
+    pub fn has_layout(&self, layout: &Layout) -> bool {
         let mut lists = layout.lists.clone();
         for (_, members) in &mut lists {
             members.sort();
@@ -159,7 +159,7 @@
         self.known.get(id).copied()
     }
 
-    pub fn is_kept(&self, id: &BroadcastId) -> bool {
+    pub fn is_pending(&self, id: &BroadcastId) -> bool {
         self.known.contains_key(id)
     }
 
@@ -176,7 +176,7 @@
     }
 
     /// The instance that serves the cohort, and whether the cohort is a slow one.
-    pub fn serves(&self, cohort: Cohort) -> Option<(Option<InstanceId>, bool)> {
+    pub fn cohort_server(&self, cohort: Cohort) -> Option<(Option<InstanceId>, bool)> {
         self.cohorts.get(&cohort).map(|c| (c.by, c.slow))
     }
 
--- a/forwarder/fanout/tests/plan.rs
+++ b/forwarder/fanout/tests/plan.rs
@@ -145,7 +145,7 @@
                 if let Command::Moved { subscriber, from, to } = command {
                     prop_assert!(moved.insert(*subscriber), "a subscriber moves twice");
                     prop_assert_eq!(fanout.cohort(*subscriber), Some(*from));
-                    let (by, slow) = fanout.serves(*to).unwrap();
+                    let (by, slow) = fanout.cohort_server(*to).unwrap();
                     prop_assert!(!is_lost(&scenario, number, by.unwrap()));
                     prop_assert!(!fanout.at_fault(by.unwrap()).unwrap().3);
                     prop_assert_eq!(slow, matches!(fanout.judged(*subscriber), Judged::Slow(_)));
--- a/forwarder/fanout/tests/simulator/process.rs
+++ b/forwarder/fanout/tests/simulator/process.rs
@@ -51,7 +51,7 @@
             let Some(local_instance) = self.local_instance.as_mut() else {
                 return;
             };
-            requests.extend(local_instance.applied(
+            requests.extend(local_instance.apply_command(
                 local,
                 &EventLog(&self.forwarder),
                 command.clone(),
@@ -87,9 +87,9 @@
                 }
                 HostRequest::BroadcastCompleted(..) => continue,
             };
-            if local_instance.holds(copy) {
+            if local_instance.has_copy(copy) {
                 let binding = local_instance
-                    .fields(copy.1)
+                    .broadcast(copy.1)
                     .is_some_and(|b| b.traffic == "binding");
                 self.forwarder.execute(now, request, binding, checker);
             }
@@ -125,7 +125,7 @@
                         else {
                             continue;
                         };
-                        let Some(b) = local_instance.fields(position) else {
+                        let Some(b) = local_instance.broadcast(position) else {
                             continue;
                         };
                         let (event, patience_ends) =
--- a/forwarder/fanout/tests/simulator/random_events.rs
+++ b/forwarder/fanout/tests/simulator/random_events.rs
@@ -39,7 +39,7 @@
             fingerprint: None,
             body: Vec::new(),
         };
-        if let Ok(number) = local_instance.attempt(local, broadcast) {
+        if let Ok(number) = local_instance.submit_broadcast(local, broadcast) {
             if self.planted_fault == PlantedFault::AnswersEarly {
                 self.checker.answered(&id, true);
             }
--- a/forwarder/fanout/tests/slow_subscribers.rs
+++ b/forwarder/fanout/tests/slow_subscribers.rs
@@ -252,7 +252,7 @@
     // The subscriber returns to a cohort that keeps up, but not at that instance.
     assert_eq!(apply_plan(&mut fanout), 1);
     let cohort = fanout.cohort(subscriber).unwrap();
-    assert!(!fanout.serves(cohort).unwrap().1 && fanout.server(subscriber) != Some(bad));
+    assert!(!fanout.cohort_server(cohort).unwrap().1 && fanout.server(subscriber) != Some(bad));
     rounds(&mut fanout, next, 100, lag);
     assert_eq!(apply_plan(&mut fanout), 0);
 }
@@ -272,7 +272,12 @@
             next = rounds(&mut fanout, next, 1, one_slow(4, HEALTHY));
         }
         waits.push(next - began);
-        assert!(!fanout.serves(fanout.cohort(subscriber).unwrap()).unwrap().1);
+        assert!(
+            !fanout
+                .cohort_server(fanout.cohort(subscriber).unwrap())
+                .unwrap()
+                .1
+        );
         next = rounds(&mut fanout, next, 60, one_slow(4, HEALTHY));
     }
     assert!(
--- a/forwarder/fanout/tests/state.rs
+++ b/forwarder/fanout/tests/state.rs
@@ -222,7 +222,7 @@
     let old = fanout.server(subscriber).unwrap();
     let from = fanout.cohort(subscriber).unwrap();
     let to = Cohort(2);
-    let new = fanout.serves(to).unwrap().0.unwrap();
+    let new = fanout.cohort_server(to).unwrap().0.unwrap();
     submit_broadcast(&mut fanout, 1);
     fanout.apply(Command::Spread {
         by: old,
--- a/forwarder/hot-restart/src/handshake.rs
+++ b/forwarder/hot-restart/src/handshake.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
     /// To the predecessor: a new process requests to take over.
-    Asked {
+    TakeoverRequested {
         /// Whether the new process can continue with the predecessor's state.
         compatible: bool,
     },
@@ -80,10 +80,10 @@
     /// Applies a signal, and returns the action to take.
     pub fn on_signal(&mut self, signal: Signal) -> Action {
         let (next, action) = match (*self, signal) {
-            (Predecessor::Deciding, Signal::Asked { compatible: true }) => {
+            (Predecessor::Deciding, Signal::TakeoverRequested { compatible: true }) => {
                 (Predecessor::Paused, Action::Pause)
             }
-            (Predecessor::Deciding, Signal::Asked { compatible: false }) => {
+            (Predecessor::Deciding, Signal::TakeoverRequested { compatible: false }) => {
                 (Predecessor::Deciding, Action::Decline)
             }
             (Predecessor::Paused, Signal::Prepared) => {
--- a/forwarder/hot-restart/tests/handshake.rs
+++ b/forwarder/hot-restart/tests/handshake.rs
@@ -111,7 +111,7 @@
     #[test]
     fn never_do_both_decide_and_a_process_that_is_left_decides_in_the_end(steps in proptest::collection::vec(step(), 0..24)) {
         let mut handshake = Handshake { predecessor_alive: true, successor_alive: true, connected: true, ..Handshake::default() };
-        handshake.predecessor_receives(Signal::Asked { compatible: true });
+        handshake.predecessor_receives(Signal::TakeoverRequested { compatible: true });
         for step in steps {
             handshake.step(step);
             let predecessor = handshake.predecessor_alive && handshake.predecessor.is_deciding();
@@ -133,7 +133,7 @@
 fn an_incompatible_successor_changes_nothing() {
     let mut predecessor = Predecessor::default();
     assert_eq!(
-        predecessor.on_signal(Signal::Asked { compatible: false }),
+        predecessor.on_signal(Signal::TakeoverRequested { compatible: false }),
         Action::Decline
     );
     assert!(predecessor.is_deciding());
--- a/forwarder/http1/src/chunks.rs
+++ b/forwarder/http1/src/chunks.rs
@@ -8,7 +8,7 @@
 
 /// Decoder of a chunked body.
 #[derive(Default)]
-pub struct Chunks {
+pub struct ChunkedDecoder {
     next: Part,
 }
 
@@ -28,7 +28,7 @@
     End,
 }
 
-impl Chunks {
+impl ChunkedDecoder {
     /// Decodes `bytes[*read..end]` and writes the data at `*write`, which never exceeds `*read`. Returns true once the
     /// last chunk and the trailers have been read.
     ///
--- a/forwarder/http1/src/head_search.rs
+++ b/forwarder/http1/src/head_search.rs
@@ -23,7 +23,7 @@
 }
 
 /// Length in bytes of the empty lines before a message, which are to be ignored before a request (RFC 9112, section 2.2).
-pub fn empty_lines(bytes: &[u8]) -> usize {
+pub fn leading_empty_line_bytes(bytes: &[u8]) -> usize {
     2 * bytes
         .chunks_exact(2)
         .take_while(|pair| *pair == b"\r\n")
@@ -34,7 +34,7 @@
 const MAX_METHOD_LEN: usize = 16;
 
 /// Whether the bytes can be the beginning of a request; also true if there are none.
-pub fn may_begin(bytes: &[u8]) -> bool {
+pub fn may_be_request(bytes: &[u8]) -> bool {
     let mut words = bytes.splitn(2, |byte| *byte == b' ');
     let method = words.next().unwrap_or_default();
     if method.len() > MAX_METHOD_LEN || !method.iter().all(u8::is_ascii_uppercase) {
--- a/forwarder/http1/src/lib.rs
+++ b/forwarder/http1/src/lib.rs
@@ -21,10 +21,10 @@
 mod response_head;
 mod write;
 
-pub use chunks::Chunks;
+pub use chunks::ChunkedDecoder;
 pub use error::Malformed;
 pub use fields::{Body, Fields};
-pub use head_search::{empty_lines, may_begin, HeadSearch};
+pub use head_search::{leading_empty_line_bytes, may_be_request, HeadSearch};
 pub use request_head::RequestHead;
 pub use response_head::ResponseHead;
-pub use write::{request, response};
+pub use write::{write_request, write_response};
--- a/forwarder/http1/src/write.rs
+++ b/forwarder/http1/src/write.rs
@@ -7,7 +7,7 @@
 ///
 /// # Errors
 /// Errors of `out`.
-pub fn request(
+pub fn write_request(
     out: &mut impl Write,
     method: &str,
     target: &str,
@@ -26,7 +26,7 @@
 ///
 /// # Errors
 /// Errors of `out`.
-pub fn response(
+pub fn write_response(
     out: &mut impl Write,
     status: u16,
     fields: &[(&str, &dyn Display)],
--- a/forwarder/http1/tests/messages.rs
+++ b/forwarder/http1/tests/messages.rs
@@ -1,6 +1,8 @@
 //! Parsing of complete, split and malformed messages.
 
-use plankhill_http1::{request, response, Body, Chunks, HeadSearch, RequestHead, ResponseHead};
+use plankhill_http1::{
+    write_request, write_response, Body, ChunkedDecoder, HeadSearch, RequestHead, ResponseHead,
+};
 use rstest::rstest;
 
 const GOOD: &str =
@@ -121,7 +123,7 @@
     let coded = b"3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrailer: t\r\n\r\nNEXT";
     for cut in 0..coded.len() {
         let mut bytes = coded.to_vec();
-        let (mut chunks, mut read, mut write) = (Chunks::default(), 0, 0);
+        let (mut chunks, mut read, mut write) = (ChunkedDecoder::default(), 0, 0);
         let complete = cut >= coded.len() - 4;
         assert_eq!(
             chunks.decode(&mut bytes, &mut read, &mut write, cut),
@@ -147,7 +149,7 @@
 fn malformed_chunks_are_rejected(#[case] coded: &str) {
     let mut bytes = coded.as_bytes().to_vec();
     let (mut read, mut write, end) = (0, 0, bytes.len());
-    assert!(Chunks::default()
+    assert!(ChunkedDecoder::default()
         .decode(&mut bytes, &mut read, &mut write, end)
         .is_err());
 }
@@ -155,7 +157,7 @@
 #[rstest]
 fn written_heads_can_be_parsed() {
     let mut out = Vec::new();
-    request(
+    write_request(
         &mut out,
         "POST",
         "/receive",
@@ -169,7 +171,7 @@
         (Body::Length(5), Ok(Some("7")))
     );
     out.clear();
-    response(&mut out, 503, &[("Retry-After", &"1.5")], 0).expect("fits");
+    write_response(&mut out, 503, &[("Retry-After", &"1.5")], 0).expect("fits");
     assert_eq!(
         ResponseHead::read(&out)
             .expect("good")
--- a/forwarder/invariants/src/checker/bounds.rs
+++ b/forwarder/invariants/src/checker/bounds.rs
@@ -16,13 +16,13 @@
     /// With replication: milliseconds after its forwarder halted in which an event may be completed
     /// late, since a successor has taken it over by then. Without replication (`None`) a halted
     /// forwarder excuses all of its pending events.
-    pub takeover_within: Option<Ms>,
+    pub takeover_timeout: Option<Ms>,
     /// The share of an overload's load that must come from forwarders that observed the outage, for
     /// the overload to be a violation.
     pub informed_share: f64,
     /// Milliseconds for which the record of an effect is retained: longer than its client may still
     /// submit the event again.
-    pub effects_remembered_for: Ms,
+    pub effect_retention: Ms,
     /// Tolerance in milliseconds for times that were rounded when they were reported.
     pub rounding: Ms,
 }
@@ -33,9 +33,9 @@
             drain_grace: 250.0,
             key_cooldown: 0.0,
             resumption_grace: 1000.0,
-            takeover_within: None,
+            takeover_timeout: None,
             informed_share: 2.0 / 3.0,
-            effects_remembered_for: 600_000.0,
+            effect_retention: 600_000.0,
             rounding: 0.01,
         }
     }
--- a/forwarder/invariants/src/checker/completion.rs
+++ b/forwarder/invariants/src/checker/completion.rs
@@ -108,8 +108,8 @@
             return false;
         };
         let grace = self.bounds.resumption_grace;
-        if let Some(takeover_within) = self.bounds.takeover_within {
-            let takeover_ends = halt.began.max(deadline) + takeover_within;
+        if let Some(takeover_timeout) = self.bounds.takeover_timeout {
+            let takeover_ends = halt.began.max(deadline) + takeover_timeout;
             let resumption_ends = halt.ended + grace;
             return halt.began <= deadline + grace
                 && self.now <= takeover_ends.min(resumption_ends);
--- a/forwarder/invariants/src/checker/effects.rs
+++ b/forwarder/invariants/src/checker/effects.rs
@@ -14,7 +14,7 @@
         let Some(first) = self.effects.get(&origin) else {
             let at = self.now;
             self.effects.insert(origin, AppliedEffect { at, event });
-            let expires_at = self.now + self.bounds.effects_remembered_for;
+            let expires_at = self.now + self.bounds.effect_retention;
             self.effect_expiries.push_back((expires_at, origin));
             return;
         };
--- a/forwarder/invariants/tests/planted.rs
+++ b/forwarder/invariants/tests/planted.rs
@@ -96,7 +96,7 @@
 #[rstest]
 fn a_valid_run_has_no_violations_and_its_records_are_removed() {
     let mut checker = Checker::new(Bounds {
-        effects_remembered_for: 1000.0,
+        effect_retention: 1000.0,
         ..bounds()
     });
     for event in 0..50 {
@@ -310,12 +310,12 @@
 #[case::the_successor_has_some_time_left(Some(2_000.0), 11_500.0, 0)]
 #[case::there_is_no_replication(None, 13_000.0, 0)]
 fn a_halted_forwarder_excuses_until_its_successor_has_its_events(
-    #[case] takeover_within: Option<Ms>,
+    #[case] takeover_timeout: Option<Ms>,
     #[case] ends: Ms,
     #[case] violations: usize,
 ) {
     let mut checker = Checker::new(Bounds {
-        takeover_within,
+        takeover_timeout,
         ..bounds()
     });
     checker.observe(0.0, accepted(1, Idempotency::Idempotent, None));
--- a/forwarder/process-tests/src/check_invariants.rs
+++ b/forwarder/process-tests/src/check_invariants.rs
@@ -58,7 +58,7 @@
     observations.sort_by(|a, b| a.0.total_cmp(&b.0));
     let mut checker = Checker::new(Bounds {
         resumption_grace: NOTIFICATION_GRACE,
-        takeover_within: takeover_timeout_ms,
+        takeover_timeout: takeover_timeout_ms,
         ..Bounds::default()
     });
     observations
--- a/forwarder/raft-groups/src/groups/create.rs
+++ b/forwarder/raft-groups/src/groups/create.rs
@@ -210,7 +210,7 @@
             .foundings
             .iter()
             .any(|founding| founding.purpose == Purpose::Control);
-        if fleet.found
+        if fleet.may_create_control_group
             && is_first_voter
             && !is_founding
             && self.choose_control_voters(now).is_some()
--- a/forwarder/raft-groups/src/start.rs
+++ b/forwarder/raft-groups/src/start.rs
@@ -35,7 +35,7 @@
     /// The instance's own folder, `fleet` in `PROXY_STATE`; created if missing.
     pub folder: PathBuf,
     /// The logger of the instance's threads.
-    pub log: slog::Logger,
+    pub logger: slog::Logger,
     /// The factory for the event loop's state machines.
     pub state_machines: StateMachineFactory,
 }
@@ -53,7 +53,7 @@
         fleet,
         name,
         folder,
-        log,
+        logger,
         state_machines,
     } = options;
     let me = fleet
@@ -80,7 +80,7 @@
         fleet,
         me,
         folder,
-        logger: log,
+        logger,
         state_machines,
         timing,
         leases,
--- a/forwarder/raft-groups/tests/cluster/mod.rs
+++ b/forwarder/raft-groups/tests/cluster/mod.rs
@@ -129,7 +129,7 @@
         }
         text += &format!("[timing]\n{timing}{extra_config}");
         let mut fleet = read(&text).unwrap();
-        fleet.found = true;
+        fleet.may_create_control_group = true;
         let folders = (0..count).map(|_| TempDir::new().unwrap()).collect();
         let mut cluster = Cluster {
             fleet,
@@ -166,7 +166,7 @@
             fleet: self.fleet.clone(),
             name: format!("i{at}"),
             folder: self.folders[at].path().join("fleet"),
-            log: slog::Logger::root(log.clone(), slog::o!()),
+            logger: slog::Logger::root(log.clone(), slog::o!()),
             state_machines: Box::new(|_| Box::<ByteLog>::default()),
         })?;
         Ok(RunningInstance {
--- a/forwarder/server/src/admin_listener.rs
+++ b/forwarder/server/src/admin_listener.rs
@@ -81,7 +81,7 @@
             fields.push(("Allow", allowed));
         }
         let mut encoded = Vec::with_capacity(128);
-        http1::response(&mut encoded, self.status, &fields, 0).ok()?;
+        http1::write_response(&mut encoded, self.status, &fields, 0).ok()?;
         Some(encoded)
     }
 }
--- a/forwarder/server/src/clients/connection.rs
+++ b/forwarder/server/src/clients/connection.rs
@@ -20,7 +20,7 @@
 use crate::count_guard::CountGuard;
 use crate::hot_restart::transfer::Outgoing;
 use crate::messages::{Input, Submission};
-use crate::stream::{is_closed_by_peer, is_quiet, until, Body, Stream};
+use crate::stream::{is_closed_by_peer, is_open_without_data, until, Body, Stream};
 
 /// Time limit for receiving a complete request, from its first byte or, for the first request of a
 /// connection, from the accept: a client that sends no request receives an error response, or its
@@ -269,7 +269,7 @@
             .await
             .is_ok();
         // A request that has arrived by then still receives a response.
-        (in_time && !self.context.client_gate.is_shut()) || !is_quiet(&self.stream)
+        (in_time && !self.context.client_gate.is_shut()) || !is_open_without_data(&self.stream)
     }
 
     /// Submits an event to the event loop and responds to the client. If the client disconnects
@@ -342,7 +342,7 @@
         let client_gone = async {
             let _ = self.stream.readable().await;
             if !is_closed_by_peer(&self.stream) {
-                readable_since = (!is_quiet(&self.stream)).then(Instant::now);
+                readable_since = (!is_open_without_data(&self.stream)).then(Instant::now);
                 future::pending::<()>().await;
             }
             SubmissionResult::ClientGone
--- a/forwarder/server/src/clients/mod.rs
+++ b/forwarder/server/src/clients/mod.rs
@@ -32,7 +32,7 @@
 use crate::lingering_close;
 use crate::messages::Input;
 use crate::stall_guard;
-use crate::stream::{is_quiet, Stream};
+use crate::stream::{is_open_without_data, Stream};
 use crate::targets::max_idle_connections;
 
 /// File descriptors reserved for discovery, the event log, the process's log and the reactor.
@@ -149,7 +149,7 @@
             Some(counted) => self.serve(stream, false, counted, reason, time_left),
             // An idle connection may be closed without a response, but not if its request has
             // already arrived.
-            None if !is_quiet(&stream) => reject(&stream),
+            None if !is_open_without_data(&stream) => reject(&stream),
             None => (),
         }
     }
@@ -179,6 +179,6 @@
     let mut response = Vec::with_capacity(128);
     let fields: [(&str, &dyn std::fmt::Display); 2] =
         [("Retry-After", &1), ("Connection", &"close")];
-    let _ = http1::response(&mut response, 503, &fields, 0);
+    let _ = http1::write_response(&mut response, 503, &fields, 0);
     lingering_close::reject(stream, &response);
 }
--- a/forwarder/server/src/clients/read_request.rs
+++ b/forwarder/server/src/clients/read_request.rs
@@ -5,7 +5,7 @@
 
 use futures_lite::{future, AsyncReadExt, AsyncWriteExt};
 use plankhill_buffer_pool::PooledBuffer;
-use plankhill_http1::{self as http1, Chunks, HeadSearch, Malformed, RequestHead};
+use plankhill_http1::{self as http1, ChunkedDecoder, HeadSearch, Malformed, RequestHead};
 
 use super::connection::ClientConnection;
 use super::request::{parse_head, PartialRequest, Request, RequestError};
@@ -120,7 +120,7 @@
         let mut began = self.last_read;
         loop {
             // Empty lines before a request are skipped (RFC 9112, section 2.2).
-            let empty_lines = http1::empty_lines(&buffer[..*filled]);
+            let empty_lines = http1::leading_empty_line_bytes(&buffer[..*filled]);
             if empty_lines > 0 {
                 buffer.copy_within(empty_lines..*filled, 0);
                 *filled -= empty_lines;
@@ -185,7 +185,7 @@
         filled: &mut usize,
         start: usize,
     ) -> Result<BodyEnd, Incomplete> {
-        let mut chunks = Chunks::default();
+        let mut chunks = ChunkedDecoder::default();
         let mut read = start;
         let mut written = start;
         let mut framing_bytes = 0;
@@ -213,7 +213,7 @@
 
     /// Keeps bytes after a request as the beginning of the next.
     fn keep_next_request(&mut self, behind: &[u8]) -> Result<(), RequestError> {
-        if !http1::may_begin(&behind[http1::empty_lines(behind)..]) {
+        if !http1::may_be_request(&behind[http1::leading_empty_line_bytes(behind)..]) {
             return Err(RequestError::new(400, "the body is longer than its length"));
         }
         if behind.is_empty() {
--- a/forwarder/server/src/clients/request.rs
+++ b/forwarder/server/src/clients/request.rs
@@ -172,7 +172,7 @@
         destination: DestinationId(destination),
         traffic_type,
         // The timeout is at most that of the traffic type.
-        timeout: settings.patience.min(timeout),
+        timeout: settings.time_to_deadline.min(timeout),
         key,
         fingerprint,
     })
@@ -180,7 +180,7 @@
 
 fn parse_id(id: Option<&str>, is_broadcast: bool) -> Result<EventId, RequestError> {
     let max_bytes = match is_broadcast {
-        true => MAX_EVENT_ID_BYTES.min(BroadcastId::LONGEST),
+        true => MAX_EVENT_ID_BYTES.min(BroadcastId::MAX_LEN),
         false => MAX_EVENT_ID_BYTES,
     };
     match id {
--- a/forwarder/server/src/clients/respond.rs
+++ b/forwarder/server/src/clients/respond.rs
@@ -11,7 +11,7 @@
 use super::request::RequestError;
 use super::waiting::WaitReason;
 use crate::lingering_close;
-use crate::stream::is_quiet;
+use crate::stream::is_open_without_data;
 
 /// Time limit for writing a response that its client does not read: the client waits for 400 ms,
 /// the response's first byte included.
@@ -77,7 +77,7 @@
         text: &str,
     ) -> Responded {
         let gate_shut = self.context.client_gate.is_shut();
-        if gate_shut && self.next_request.is_none() && is_quiet(&self.stream) {
+        if gate_shut && self.next_request.is_none() && is_open_without_data(&self.stream) {
             self.closing = true;
         }
         let mut fields = fields.to_vec();
@@ -85,7 +85,7 @@
             fields.push(("Connection", &"close"));
         }
         let mut response = Vec::with_capacity(128);
-        if http1::response(&mut response, status, &fields, text.len()).is_err() {
+        if http1::write_response(&mut response, status, &fields, text.len()).is_err() {
             return Responded::Failed;
         }
         response.extend_from_slice(text.as_bytes());
--- a/forwarder/server/src/clients/tests.rs
+++ b/forwarder/server/src/clients/tests.rs
@@ -10,7 +10,7 @@
 use serde_json::json;
 
 use super::{wait_until_served, Clients};
-use crate::context::tests::{load_config, quiet_context};
+use crate::context::tests::{context_without_log, load_config};
 use crate::context::ServerContext;
 use crate::messages::Input;
 use crate::stream::until;
@@ -38,7 +38,7 @@
             "profiles": [job], "rules": {"coldFrom": 0.2, "coldUs": 9000000, "tipMultiple": 2}});
         let config = json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "7",
             "limits": {"memory_mb": 16, "sockets": 256, "disk_mb": 3}, "settings": settings});
-        let context = quiet_context(load_config(&config, folder.path()));
+        let context = context_without_log(load_config(&config, folder.path()));
         let (to_event_loop, mailbox) = async_channel::bounded(4);
         let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
         let address = listener.get_ref().local_addr().expect("bound");
--- a/forwarder/server/src/clock.rs
+++ b/forwarder/server/src/clock.rs
@@ -31,13 +31,13 @@
     /// Adopts the clock of the process that this one takes over from, which is `offset` ahead of
     /// the system clock.
     pub fn adopt_offset(&self, offset: Ms) {
-        let change = offset - self.ahead_of_system();
+        let change = offset - self.offset_from_system_clock();
         self.unix_at_start.set(self.unix_at_start.get() + change);
     }
 
     /// How far this clock is ahead of the system clock, which may have been adjusted since the
     /// start.
-    pub fn ahead_of_system(&self) -> Ms {
+    pub fn offset_from_system_clock(&self) -> Ms {
         self.now() - system_time()
     }
 
--- a/forwarder/server/src/connection_quotas/control_group.rs
+++ b/forwarder/server/src/connection_quotas/control_group.rs
@@ -41,7 +41,7 @@
             // A lost report is repeated at the next renewal.
             let _ = raft.request(GroupRequest::Report { body });
         }
-        let due = self.local.borrow_mut().due(at);
+        let due = self.local.borrow_mut().due_commands(at);
         for command in due {
             self.propose(raft, log, command);
         }
@@ -60,7 +60,7 @@
             } => {
                 info!(log, "connection quotas: leads the control group"; "term" => term.0);
                 self.proposals.borrow_mut().led_group = Some(*group);
-                self.local.borrow_mut().leads(at, term.0, state);
+                self.local.borrow_mut().became_leader(at, term.0, state);
             }
             GroupEvent::Deposed { group } => {
                 if self.proposals.borrow().led_group == Some(*group) {
@@ -82,7 +82,7 @@
                     .undecided
                     .remove(&(*group, *number));
                 if let Some(command) = discarded {
-                    self.local.borrow_mut().void(&command);
+                    self.local.borrow_mut().proposal_discarded(&command);
                 }
             }
             GroupEvent::Applied { term, command, .. } => {
@@ -90,7 +90,9 @@
                     self.local.borrow_mut().applied(at, term.0, command);
                 }
             }
-            GroupEvent::SnapshotInstalled { state } => self.local.borrow_mut().replaced(state),
+            GroupEvent::SnapshotInstalled { state } => {
+                self.local.borrow_mut().snapshot_installed(state)
+            }
             GroupEvent::ReportReceived { body, .. } => {
                 let command = self.local.borrow_mut().reported(at, body);
                 if let Some(command) = command {
@@ -105,7 +107,7 @@
         let mut proposals = self.proposals.borrow_mut();
         let has_room = proposals.undecided.len() < MAX_UNDECIDED_PROPOSALS;
         let Some(group) = proposals.led_group.filter(|_| has_room) else {
-            self.local.borrow_mut().void(&command);
+            self.local.borrow_mut().proposal_discarded(&command);
             return;
         };
         if proposals
@@ -127,7 +129,7 @@
                 log,
                 "connection quotas: the group's ring is full, lease delayed"
             );
-            self.local.borrow_mut().void(&command);
+            self.local.borrow_mut().proposal_discarded(&command);
             return;
         }
         proposals.last_numbers.insert(group, number);
--- a/forwarder/server/src/connection_quotas/permit.rs
+++ b/forwarder/server/src/connection_quotas/permit.rs
@@ -32,8 +32,8 @@
 pub enum Acquired {
     /// A permit for a new connection.
     New(Permit),
-    /// The permit of the lent connection is marked as in use.
-    Lent,
+    /// The permit of the reused connection is marked as in use.
+    Reused,
     /// The pool has no capacity now.
     Exhausted(PoolId),
 }
@@ -127,7 +127,7 @@
             lent_pool.as_ref(),
         );
         let pool = match admission {
-            Admission::Unlimited if lent.is_some() => return Acquired::Lent,
+            Admission::Unlimited if lent.is_some() => return Acquired::Reused,
             Admission::Unlimited => return Acquired::New(Permit::unlimited(target)),
             Admission::Exhausted(pool) => return Acquired::Exhausted(pool),
             Admission::Admitted(pool) => pool,
@@ -156,7 +156,7 @@
             pool,
         });
         lent.used_for.set(Some(used_for));
-        Acquired::Lent
+        Acquired::Reused
     }
 
     /// Waits until there may be capacity. If idle connections use the last capacity of the pool,
--- a/forwarder/server/src/context/tests.rs
+++ b/forwarder/server/src/context/tests.rs
@@ -24,7 +24,7 @@
 }
 
 /// Creates a context that logs nothing and has buffers for twenty messages.
-pub fn quiet_context(config: Rc<ForwarderConfig>) -> ServerContext {
+pub fn context_without_log(config: Rc<ForwarderConfig>) -> ServerContext {
     let log = Logger::root(slog::Discard, o!());
     let buffers = BufferPool::new(BUFFER_BYTES, 20);
     ServerContext {
--- a/forwarder/server/src/discovery/watch.rs
+++ b/forwarder/server/src/discovery/watch.rs
@@ -196,7 +196,7 @@
         let max_stored_bytes = config.max_disk_bytes / DISK_SHARE_DIVISOR;
         list.write(&config.state_folder, max_stored_bytes);
         let forwarders = config.decisions.forwarder_count;
-        let is_shared = config.names.ask_within.is_some();
+        let is_shared = config.names.list_request_interval.is_some();
         let mut backoff = match is_shared {
             true => Backoff::for_fleet(config.decisions.seed, &config.name, forwarders),
             false => Backoff::for_local_agent(),
@@ -334,7 +334,7 @@
         let deadline = Instant::now() + Duration::from_millis(wait_ms) + RESPONSE_GRACE;
         let address = self.context.discovery_address.get();
         let mut request = Vec::new();
-        plankhill_http1::request(&mut request, "GET", &path, &[("Host", &address)], 0)
+        plankhill_http1::write_request(&mut request, "GET", &path, &[("Host", &address)], 0)
             .map_err(ExchangeError::from)?;
         let exchanged = async {
             let idle = &mut self.idle;
--- a/forwarder/server/src/endpoint_page.rs
+++ b/forwarder/server/src/endpoint_page.rs
@@ -6,7 +6,7 @@
 use plankhill_decisions::interface::{
     DestinationId, DestinationKindId, EndpointState, TargetId, ZoneId,
 };
-use plankhill_forwarder_config::fields::{optional_number, place, text, whole, Object};
+use plankhill_forwarder_config::fields::{optional_number, position_of, text, unsigned, Object};
 use plankhill_forwarder_config::Names;
 use serde_json::Value;
 
@@ -95,7 +95,7 @@
         .map_err(|_| EntryError::Address(address.to_owned()))?;
     let kind = named_position(&names.kinds, entry, "flavor")?;
     let zone = named_position(&names.zones, entry, "locality")?;
-    let destination = whole(entry, "cell").map_err(EntryError::Field)?;
+    let destination = unsigned(entry, "cell").map_err(EntryError::Field)?;
     let advertised_rate = match names.sizes_are_rates {
         // An invalid size does not invalidate the entry: it counts as 0.
         true => Some(optional_number(entry, "size").unwrap_or(0.0)),
@@ -117,5 +117,5 @@
 }
 
 fn named_position(names: &[String], entry: &Object, field: &str) -> Result<usize, EntryError> {
-    place(names, text_field(entry, field)?, field).map_err(EntryError::Field)
+    position_of(names, text_field(entry, field)?, field).map_err(EntryError::Field)
 }
--- a/forwarder/server/src/event_loop/accepted_types.rs
+++ b/forwarder/server/src/event_loop/accepted_types.rs
@@ -69,7 +69,7 @@
 
 /// The traffic type of the first pending event without an outcome whose guarantee the settings no
 /// longer provide.
-pub fn first_weakened<'a>(
+pub fn first_with_weaker_guarantee<'a>(
     config: &ForwarderConfig,
     pending: &'a [PendingEvent],
 ) -> Option<&'a str> {
@@ -137,7 +137,7 @@
         let base = current.cloned().unwrap_or(TrafficType {
             idempotency: Idempotency::NonIdempotent,
             soft_limit: 0.0,
-            patience: 0.0,
+            time_to_deadline: 0.0,
             value: 0.0,
             value_at_end: 0.0,
             ordered: true,
--- a/forwarder/server/src/event_loop/host/effects.rs
+++ b/forwarder/server/src/event_loop/host/effects.rs
@@ -51,7 +51,7 @@
             };
             self.notices.stage(notice);
             if let Some(fanout) = &self.context.fanout {
-                fanout.ended(event, outcome);
+                fanout.on_event_ended(event, outcome);
             }
             return true;
         };
@@ -65,7 +65,13 @@
 }
 
 impl Effects for SchedulerHost {
-    fn send_attempt(&mut self, event: &EventId, target: &TargetId, timeout: Ms, leave_by: Ms) {
+    fn send_attempt(
+        &mut self,
+        event: &EventId,
+        target: &TargetId,
+        timeout: Ms,
+        last_byte_deadline: Ms,
+    ) {
         let Some(retained) = self.retained.get(event) else {
             return;
         };
@@ -92,7 +98,7 @@
             body: retained.body(),
             timeout,
             deadline: retained.deadline(),
-            leave_by,
+            last_byte_deadline,
             groups: self.log.groups_of(event),
         };
         self.commands
@@ -110,7 +116,7 @@
     fn health_check(&mut self, target: &TargetId) {
         self.commands.health_check_started(target);
         if let Some(fanout) = &self.context.fanout {
-            fanout.target_at_rest(target);
+            fanout.on_target_unavailable(target);
         }
         self.commands
             .push(target.clone(), TargetCommand::HealthCheck);
@@ -136,7 +142,7 @@
         }
         self.log.record_warm_up(target, since, usual);
         if let Some(fanout) = &self.context.fanout {
-            fanout.target_at_rest(target);
+            fanout.on_target_unavailable(target);
         }
     }
 
--- a/forwarder/server/src/event_loop/host/restore.rs
+++ b/forwarder/server/src/event_loop/host/restore.rs
@@ -81,7 +81,7 @@
         }
         let formerly_listed = self.disabled_targets.targets().formerly_listed();
         Ok(ProcessState {
-            clock_offset: self.context.clock.ahead_of_system(),
+            clock_offset: self.context.clock.offset_from_system_clock(),
             scheduler: rmp_serde::to_vec(scheduler)?,
             request_numbers: self.retained.request_numbers(),
             next_request_number: self.context.request_numbers.get() + RELAY_REQUEST_NUMBERS,
@@ -106,7 +106,8 @@
         let is_pending = match &self.log {
             DurableLog::File(log) => {
                 let pending = log.pending_events();
-                accepted_types::first_weakened(&self.context.config, &pending).is_some()
+                accepted_types::first_with_weaker_guarantee(&self.context.config, &pending)
+                    .is_some()
             }
             DurableLog::Replicated(_) => true,
         };
--- a/forwarder/server/src/event_loop/mod.rs
+++ b/forwarder/server/src/event_loop/mod.rs
@@ -231,9 +231,7 @@
 
     fn accept(&mut self, submission: &Submission) -> bool {
         self.lifecycle == Lifecycle::Serving
-            && self
-                .scheduler
-                .knows_destination(submission.event.destination)
+            && self.scheduler.has_destination(submission.event.destination)
             && self.host.accept(submission)
     }
 
--- a/forwarder/server/src/event_loop/tests/adoption.rs
+++ b/forwarder/server/src/event_loop/tests/adoption.rs
@@ -28,7 +28,7 @@
     });
     let call = harness.next_call();
     assert_eq!(call.id(), "a");
-    call.answer(OK);
+    call.respond(OK);
     harness.commit_next(peer_group(1), &mut replica);
     assert!(replica.is_empty());
     // The next iteration finds the group empty and no proposal undecided.
@@ -83,7 +83,7 @@
     let call = harness.next_call();
     assert_eq!(call.id(), "a");
     assert!(harness.clock.now() - adopted >= 200.0 + 2.0 * STALL);
-    call.answer(OK);
+    call.respond(OK);
     harness.commit_next(peer_group(1), &mut replica);
     let call = harness.next_call();
     assert_eq!(call.id(), "b");
@@ -121,7 +121,7 @@
     let call = harness.next_call();
     harness.elect(peer_group(1), &peer_replica);
     harness.run_pending_iterations();
-    call.answer(OK);
+    call.respond(OK);
     harness.next_proposal(own_group(1), &mut own_replica);
     harness.next_proposal(peer_group(1), &mut peer_replica);
     assert!(
@@ -141,7 +141,7 @@
     );
     harness.submit("a", CHARGE);
     harness.commit_next(own_group(1), &mut own_replica);
-    harness.next_call().answer(OK);
+    harness.next_call().respond(OK);
     harness.commit_next(own_group(1), &mut own_replica);
     harness.elect(peer_group(1), &peer_replica);
     harness.next_proposal(peer_group(1), &mut peer_replica);
--- a/forwarder/server/src/event_loop/tests/commits.rs
+++ b/forwarder/server/src/event_loop/tests/commits.rs
@@ -7,8 +7,8 @@
 };
 use plankhill_replication::state_machine::encode_command;
 
+use super::blocked_target::BlockedTarget;
 use super::fake_raft::{own_group, peer_group};
-use super::held::HeldTarget;
 use super::{accepted_event, config, Harness, CHARGE, JOB, OK};
 use crate::messages::Input;
 
@@ -54,7 +54,7 @@
     assert_eq!(harness.response(&response), Some(SubmitResponse::Accepted));
     let call = harness.next_call();
     assert_eq!(call.id(), "a");
-    call.answer(OK);
+    call.respond(OK);
     harness.next_proposal(own_group(1), &mut replica);
     assert!(replica.is_empty(), "the completion is replicated");
 }
@@ -204,7 +204,7 @@
         harness.notices.is_empty(),
         "a non-idempotent event whose call is in flight here has no outcome yet"
     );
-    call.answer(OK);
+    call.respond(OK);
     harness.next_proposal(own_group(1), &mut replica);
     assert!(replica.is_empty());
 }
@@ -259,7 +259,7 @@
         Term(3),
         &encode_command(peer_group(1), &record.take_unwritten_frames()),
     );
-    harness.next_call().answer(OK);
+    harness.next_call().respond(OK);
     harness.commit_next(own_group(1), &mut replica);
     let response = harness.submit("d", JOB);
     harness.commit_next(own_group(1), &mut replica);
@@ -270,20 +270,22 @@
 /// time.
 #[test]
 fn a_call_is_cancelled_while_an_iteration_waits_for_its_commit() {
-    let mut target = HeldTarget::new();
-    target.hold();
+    let mut target = BlockedTarget::new();
+    target.fill_backlog();
     let harness = Harness::with_target(target.address(), std::sync::mpsc::channel().1, |_| ());
     harness.expect_request(|order| matches!(order, GroupRequest::Create { .. }));
     harness.elect_own_group();
     let mut replica = EventTable::default();
     harness.submit("a", CHARGE);
     harness.commit_next(own_group(1), &mut replica);
-    harness.until("the call connects", || target.dialled().then_some(()));
+    harness.until("the call connects", || {
+        target.has_pending_connect().then_some(())
+    });
     harness.submit("b", JOB);
     harness.next_proposal(own_group(1), &mut replica);
     let mut page = config::config(target.address()).1;
     page["members"][0]["phase"] = "draining".into();
     harness.input(Input::EndpointPage(page));
     harness.run_pending_iterations();
-    assert!(!target.dialled(), "the target is draining");
+    assert!(!target.has_pending_connect(), "the target is draining");
 }
--- a/forwarder/server/src/event_loop/tests/fake_raft.rs
+++ b/forwarder/server/src/event_loop/tests/fake_raft.rs
@@ -6,7 +6,7 @@
 use plankhill_decisions::interface::Ms;
 use plankhill_raft_groups::{GroupId, GroupRequest, Incarnation};
 
-use crate::raft::Groups;
+use crate::raft::RaftClient;
 
 /// Records requests to the groups; the tests set whether leases are held and whether there is
 /// capacity.
@@ -17,7 +17,7 @@
     pub(super) has_capacity: Rc<Cell<bool>>,
 }
 
-impl Groups for FakeGroups {
+impl RaftClient for FakeGroups {
     fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest> {
         self.requests.borrow_mut().push(request);
         Ok(())
--- a/forwarder/server/src/event_loop/tests/mod.rs
+++ b/forwarder/server/src/event_loop/tests/mod.rs
@@ -2,15 +2,15 @@
 //! groups; the target listens on a socket.
 
 mod adoption;
+#[path = "../../../tests/peers/blocked_target.rs"]
+#[allow(dead_code)]
+mod blocked_target;
 mod commits;
 mod config;
 mod fake_raft;
-#[path = "../../../tests/peers/held.rs"]
-#[allow(dead_code)]
-mod held;
-#[path = "../../../tests/peers/stand_ins.rs"]
+#[path = "../../../tests/peers/stub_servers.rs"]
 #[allow(dead_code)]
-mod stand_ins;
+mod stub_servers;
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -30,10 +30,10 @@
 
 use self::config::config;
 use self::fake_raft::{own_group, FakeGroups};
-use self::stand_ins::Asked;
+use self::stub_servers::ReceivedRequest;
 use super::EventLoop;
 use crate::clock::Clock;
-use crate::context::tests::{load_config, quiet_context};
+use crate::context::tests::{context_without_log, load_config};
 use crate::context::ServerContext;
 use crate::disabled_targets::DisabledTargetStore;
 use crate::messages::{CompletionNotice, Input, Submission};
@@ -44,15 +44,15 @@
 const JOB: usize = 0;
 const CHARGE: usize = 1;
 const STALL: Ms = 50.0;
-#[allow(dead_code)] // for the part of `held` that the socket tests use
-const LONG: Duration = Duration::from_secs(30);
+#[allow(dead_code)] // for the part of `blocked_target` that the socket tests use
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 struct Harness {
     executor: Rc<LocalExecutor<'static>>,
     groups: FakeGroups,
     to_event_loop: Sender<Input>,
     notices: Receiver<CompletionNotice>,
-    calls: Calls<Asked>,
+    calls: Calls<ReceivedRequest>,
     clock: Clock,
     context: ServerContext,
     submitted: Cell<u64>,
@@ -64,13 +64,13 @@
 impl Harness {
     /// An event loop that has requested its own group; `before` fills the log in its state folder.
     fn new(before: impl FnOnce(&mut EventLog)) -> Self {
-        let (target, calls) = stand_ins::stand_in();
+        let (target, calls) = stub_servers::stub_server();
         Self::with_target(target, calls, before)
     }
 
     fn with_target(
         target: SocketAddr,
-        calls: Calls<Asked>,
+        calls: Calls<ReceivedRequest>,
         before: impl FnOnce(&mut EventLog),
     ) -> Self {
         let folder = tempfile::tempdir().expect("a temporary folder");
@@ -90,7 +90,7 @@
         let raft = RaftHandle::new(Box::new(groups.clone()), STALL, true, replicas.clone());
         let context = ServerContext {
             raft: Some(Rc::new(raft)),
-            ..quiet_context(config)
+            ..context_without_log(config)
         };
         let executor = context.executor.clone();
         let (to_event_loop, inputs) = async_channel::bounded(super::MAX_MAILBOX_INPUTS);
@@ -226,7 +226,7 @@
         })
     }
 
-    fn next_call(&self) -> Asked {
+    fn next_call(&self) -> ReceivedRequest {
         self.until("a call", || match self.calls.try_recv() {
             Ok(asked) => Some(asked),
             Err(TryRecvError::Empty) => None,
--- a/forwarder/server/src/fanout/actor.rs
+++ b/forwarder/server/src/fanout/actor.rs
@@ -86,7 +86,7 @@
         let traffic_types = names
             .map(|(position, name)| (name.clone(), TrafficTypeId(position)))
             .collect();
-        let reachable = BTreeSet::from([broadcasts.instance.borrow().me()]);
+        let reachable = BTreeSet::from([broadcasts.instance.borrow().instance_id()]);
         Actor {
             context,
             broadcasts,
@@ -121,7 +121,7 @@
                 };
                 let pending = self.broadcasts.pending.borrow();
                 let mut instance = self.broadcasts.instance.borrow_mut();
-                return instance.applied(now, &PendingCopies(&pending), command);
+                return instance.apply_command(now, &PendingCopies(&pending), command);
             }
             GroupEvent::SnapshotInstalled { state } => {
                 let Some(state) = decode_snapshot(&state) else {
@@ -130,7 +130,7 @@
                 };
                 let pending = self.broadcasts.pending.borrow();
                 let mut instance = self.broadcasts.instance.borrow_mut();
-                return instance.replaced(now, &PendingCopies(&pending), state);
+                return instance.install_snapshot(now, &PendingCopies(&pending), state);
             }
             GroupEvent::ReportReceived {
                 incarnation, body, ..
@@ -243,7 +243,7 @@
             .poll_commands(now, state, &reachable, MAX_CALL_OVERRUN);
         let layout = &self.broadcasts.layout;
         let may_propose_layout = now - self.layout_proposed_at >= LAYOUT_RETRY_INTERVAL;
-        if !state.is_laid(layout) && may_propose_layout {
+        if !state.has_layout(layout) && may_propose_layout {
             self.layout_proposed_at = now;
             commands.insert(0, Command::Laid(layout.clone()));
         }
--- a/forwarder/server/src/fanout/mod.rs
+++ b/forwarder/server/src/fanout/mod.rs
@@ -121,7 +121,10 @@
             fingerprint: event.fingerprint.as_deref().map(str::to_owned),
             body: body.to_vec(),
         };
-        let number = self.instance.borrow_mut().attempt(now, broadcast)?;
+        let number = self
+            .instance
+            .borrow_mut()
+            .submit_broadcast(now, broadcast)?;
         let (response, received) = async_channel::bounded(1);
         self.waiting_clients.borrow_mut().insert(number, response);
         self.wake_actor();
@@ -137,7 +140,7 @@
     /// it meanwhile.
     pub fn reserves_id(&self, event: &EventId) -> bool {
         match copy_of(event) {
-            Some((broadcast, _)) => self.instance.borrow().state().is_kept(&broadcast),
+            Some((broadcast, _)) => self.instance.borrow().state().is_pending(&broadcast),
             None => false,
         }
     }
@@ -177,7 +180,7 @@
     }
 
     /// Excludes the subscriber of a parked or warming up target from lag detection for a time.
-    pub fn target_at_rest(&self, target: &TargetId) {
+    pub fn on_target_unavailable(&self, target: &TargetId) {
         if let Some(subscriber) = self.subscribers.borrow().get(target) {
             let until = self.clock.now() + TARGET_REST_TTL;
             self.instance
@@ -192,7 +195,7 @@
     }
 
     /// Handles the rejection or abandonment of an event, whose notice is to be sent.
-    pub fn ended(&self, event: &EventId, outcome: EventOutcome) {
+    pub fn on_event_ended(&self, event: &EventId, outcome: EventOutcome) {
         if self.is_pending(event) {
             self.outcomes
                 .borrow_mut()
@@ -224,7 +227,7 @@
 
     /// Returns once the log has the outcome of each copy of this instance. Called at shutdown.
     pub async fn wait_until_settled(&self) {
-        while !self.instance.borrow().is_settled() {
+        while !self.instance.borrow().has_no_copies() {
             Timer::after(BUSY_POLL_INTERVAL).await;
         }
     }
--- a/forwarder/server/src/fanout/submission.rs
+++ b/forwarder/server/src/fanout/submission.rs
@@ -65,7 +65,9 @@
     ) -> Option<(EventHeader, Body)> {
         let instance = self.broadcasts.instance.borrow();
         let (destination, position) = copy;
-        let broadcast = instance.fields(position).filter(|_| instance.holds(copy))?;
+        let broadcast = instance
+            .broadcast(position)
+            .filter(|_| instance.has_copy(copy))?;
         let event = EventHeader {
             id: id.clone(),
             destination,
@@ -81,7 +83,7 @@
     /// notifies the platform.
     pub(super) async fn pass_unsubmitted_outcomes(&mut self) {
         let broadcasts = self.broadcasts.clone();
-        let is_assigned = |copy| broadcasts.instance.borrow().holds(copy);
+        let is_assigned = |copy| broadcasts.instance.borrow().has_copy(copy);
         broadcasts.unsubmitted.borrow_mut().retain(is_assigned);
         let due = broadcasts
             .unsubmitted
@@ -111,7 +113,7 @@
         (destination, position): BroadcastCopy,
     ) -> Option<AcceptedEvent<'static>> {
         let instance = self.broadcasts.instance.borrow();
-        let broadcast = instance.fields(position)?;
+        let broadcast = instance.broadcast(position)?;
         Some(AcceptedEvent {
             id: event.0.to_string().into(),
             destination: destination.0,
--- a/forwarder/server/src/hot_restart/predecessor.rs
+++ b/forwarder/server/src/hot_restart/predecessor.rs
@@ -127,7 +127,7 @@
         };
         let mut handshake = Predecessor::default();
         let incompatible = self.incompatibility(version, &names);
-        let asked = Signal::Asked {
+        let asked = Signal::TakeoverRequested {
             compatible: incompatible.is_none(),
         };
         let paused = match handshake.on_signal(asked) {
--- a/forwarder/server/src/hot_restart/successor.rs
+++ b/forwarder/server/src/hot_restart/successor.rs
@@ -24,7 +24,7 @@
 use crate::clock::to_duration;
 use crate::context::ServerContext;
 use crate::disabled_targets::DisabledTargetStore;
-use crate::event_loop::accepted_types::first_weakened;
+use crate::event_loop::accepted_types::first_with_weaker_guarantee;
 use crate::messages::{InheritedConnection, Input, Submission};
 use crate::state_folder::{check_owner, StartError};
 use crate::stream::until;
@@ -222,7 +222,7 @@
     let scheduler = rmp_serde::from_slice(&state.scheduler)?;
     let (event_log, pending) =
         EventLog::open(&config.state_folder, config.max_disk_bytes).map_err(io::Error::from)?;
-    if let Some(traffic_type) = first_weakened(config, &pending) {
+    if let Some(traffic_type) = first_with_weaker_guarantee(config, &pending) {
         return Err(HandoverError::WeakenedGuarantee(traffic_type.to_owned()));
     }
     let disabled_targets = DisabledTargetStore::open(&config.state_folder, config.max_disk_bytes)?;
--- a/forwarder/server/src/http_exchange.rs
+++ b/forwarder/server/src/http_exchange.rs
@@ -7,9 +7,9 @@
 use std::time::{Duration, Instant};
 
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use plankhill_http1::{self as http1, Chunks, HeadSearch, Malformed, ResponseHead};
+use plankhill_http1::{self as http1, ChunkedDecoder, HeadSearch, Malformed, ResponseHead};
 
-use crate::stream::{connect, is_quiet, until, Stream, MAX_HEAD_BYTES};
+use crate::stream::{connect, is_open_without_data, until, Stream, MAX_HEAD_BYTES};
 
 /// Time limit for connecting. The system retransmits a lost packet after one second, then after
 /// two, four and eight; a longer connect would reach a recovered discovery only at the next
@@ -103,7 +103,7 @@
         .get_ref()
         .peer_addr()
         .is_ok_and(|peer| peer == address)
-        && is_quiet(stream)
+        && is_open_without_data(stream)
 }
 
 /// Reads one response. `timeout` returns the time limit from the first byte on for a status, or for
@@ -193,7 +193,7 @@
             (end, end)
         }
         http1::Body::Chunked => {
-            let mut chunks = Chunks::default();
+            let mut chunks = ChunkedDecoder::default();
             let (mut read, mut written) = (head_end, head_end);
             while !chunks.decode(buffer, &mut read, &mut written, *filled)? {
                 read_more(stream, buffer, filled).await?;
--- a/forwarder/server/src/messages.rs
+++ b/forwarder/server/src/messages.rs
@@ -146,7 +146,7 @@
     pub deadline: Ms,
     /// Time on the decision clock by which the call's last byte has to be sent; infinite if there
     /// is no limit.
-    pub leave_by: Ms,
+    pub last_byte_deadline: Ms,
     /// With replication: the groups whose lease this process has to hold when the call's first byte
     /// is sent.
     pub groups: Vec<GroupId>,
--- a/forwarder/server/src/notifier.rs
+++ b/forwarder/server/src/notifier.rs
@@ -137,7 +137,7 @@
         let address = self.context.discovery_address.get();
         let mut request = Vec::new();
         let fields: [(&str, &dyn std::fmt::Display); 1] = [("Host", &address)];
-        plankhill_http1::request(&mut request, "POST", "/status", &fields, lines.len())
+        plankhill_http1::write_request(&mut request, "POST", "/status", &fields, lines.len())
             .map_err(ExchangeError::from)?;
         request.extend_from_slice(lines.as_bytes());
         let timeout = self.response_timeout;
--- a/forwarder/server/src/raft.rs
+++ b/forwarder/server/src/raft.rs
@@ -22,7 +22,7 @@
 const FOLDER: &str = "fleet";
 
 /// Interface to the Raft groups: implemented by their handle and by a test double.
-pub trait Groups {
+pub trait RaftClient {
     /// # Errors
     /// Returns the request if there is no capacity for it now.
     fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest>;
@@ -33,7 +33,7 @@
     fn watchdog_timeout(&self) -> Option<Ms>;
 }
 
-impl Groups for RaftGroups {
+impl RaftClient for RaftGroups {
     fn try_request(&mut self, request: GroupRequest) -> Result<(), GroupRequest> {
         self.try_request(request)
     }
@@ -67,7 +67,7 @@
 }
 
 pub struct RaftHandle {
-    groups: RefCell<Box<dyn Groups>>,
+    groups: RefCell<Box<dyn RaftClient>>,
     max_stall: Ms,
     replicates_event_logs: bool,
     /// The group in which new events are accepted.
@@ -79,7 +79,7 @@
     /// `max_stall` is the longest time in milliseconds that a process may stall; `replicas` are the
     /// replicas of event logs at this process, of its own log and of those of other instances.
     pub fn new(
-        groups: Box<dyn Groups>,
+        groups: Box<dyn RaftClient>,
         max_stall: Ms,
         replicates_event_logs: bool,
         replicas: LocalReplicas,
@@ -117,7 +117,7 @@
             fleet,
             name: config.name.clone(),
             folder: config.state_folder.join(FOLDER),
-            log: log.clone(),
+            logger: log.clone(),
             state_machines: Box::new(move |purpose| {
                 new_state_machine(&machine_replicas, purpose, control)
             }),
--- a/forwarder/server/src/stream.rs
+++ b/forwarder/server/src/stream.rs
@@ -62,7 +62,7 @@
 }
 
 /// Whether a connection is open and has no bytes to read.
-pub fn is_quiet(stream: &Stream) -> bool {
+pub fn is_open_without_data(stream: &Stream) -> bool {
     matches!(readable(stream), Readable::Nothing)
 }
 
--- a/forwarder/server/src/targets/actor.rs
+++ b/forwarder/server/src/targets/actor.rs
@@ -19,7 +19,7 @@
 use crate::connection_quotas::Permit;
 use crate::count_guard::CountGuard;
 use crate::messages::{Input, OutgoingCall, ReturnedConnection, TargetCommand};
-use crate::stream::{is_quiet, until, Stream};
+use crate::stream::{is_open_without_data, until, Stream};
 
 /// How long an actor without a connection waits for its next call, and the interval at which it
 /// checks whether a call is still in flight: longer than the interval of health checks of a target
@@ -171,7 +171,7 @@
     /// Takes the most recently used idle connection that is still open and has no unread bytes.
     fn take_idle_connection(&mut self) -> Option<ReusedConnection> {
         while let Some(IdleConnection { stream, permit, .. }) = self.idle.pop() {
-            if is_quiet(&stream) {
+            if is_open_without_data(&stream) {
                 return Some(ReusedConnection { stream, permit });
             }
         }
--- a/forwarder/server/src/targets/call.rs
+++ b/forwarder/server/src/targets/call.rs
@@ -55,7 +55,7 @@
     /// Latest end of the call.
     ends: Instant,
     /// Latest time at which the call's last byte may be written.
-    leave_by: Instant,
+    last_byte_deadline: Instant,
     decided_at: Instant,
     connect_timeout: Duration,
 }
@@ -105,7 +105,7 @@
             return Schedule {
                 began,
                 ends,
-                leave_by: ends,
+                last_byte_deadline: ends,
                 decided_at: began,
                 connect_timeout,
             };
@@ -113,11 +113,11 @@
         let clock = &self.context.server.clock;
         // The event's deadline applies however late the call begins: nothing is sent after it.
         let ends = (began + to_duration(outgoing.timeout)).min(clock.instant(outgoing.deadline));
-        let leave_by = ends.min(clock.instant(outgoing.leave_by));
+        let last_byte_deadline = ends.min(clock.instant(outgoing.last_byte_deadline));
         Schedule {
             began,
             ends,
-            leave_by,
+            last_byte_deadline,
             decided_at: outgoing.decided_at,
             connect_timeout,
         }
@@ -161,7 +161,7 @@
         let Response { head, reusable, .. } = response;
         let report = match ResponseHead::read(&buffer[head]) {
             Ok(head) => AttemptReport {
-                limit_remaining: match server.config.names.left_at {
+                limit_remaining: match server.config.names.limit_remaining_column {
                     Some(_) => limit_remaining(&head),
                     None => None,
                 },
@@ -247,14 +247,19 @@
     /// Outcome of a call without a connection.
     async fn connect(&self, schedule: &Schedule) -> Result<Stream, AttemptOutcome> {
         let connected_by = (schedule.began + schedule.connect_timeout).min(schedule.ends);
-        if Instant::now() >= schedule.leave_by {
+        if Instant::now() >= schedule.last_byte_deadline {
             return Err(AttemptOutcome::NotSent);
         }
-        let connecting = until(connected_by.min(schedule.leave_by), connect(self.address));
+        let connecting = until(
+            connected_by.min(schedule.last_byte_deadline),
+            connect(self.address),
+        );
         match self.unless_cancelled(connecting).await {
             Some(Some(Ok(stream))) => Ok(stream),
             // The time limit for sending the call was reached; the target may be healthy.
-            Some(None) if schedule.leave_by < connected_by => Err(AttemptOutcome::NotSent),
+            Some(None) if schedule.last_byte_deadline < connected_by => {
+                Err(AttemptOutcome::NotSent)
+            }
             Some(_) => Err(AttemptOutcome::ConnectFailed),
             None => Err(AttemptOutcome::NotSent),
         }
@@ -273,9 +278,9 @@
         let writing = async {
             // The process may have stalled since the decision.
             if schedule.decided_at.elapsed() > stall_guard::MAX_GAP {
-                until(schedule.leave_by, self.pass_barrier()).await;
+                until(schedule.last_byte_deadline, self.pass_barrier()).await;
             }
-            write_call(stream, request, schedule.leave_by, may_leave).await
+            write_call(stream, request, schedule.last_byte_deadline, may_leave).await
         };
         self.unless_cancelled(writing).await
     }
@@ -319,7 +324,7 @@
             let reused = self.reused.as_ref().map(|reused| &reused.permit);
             match quotas.acquire(&self.target, kind_of(outgoing), schedule.ends, reused) {
                 Acquired::New(permit) => return Some(permit),
-                Acquired::Lent => {
+                Acquired::Reused => {
                     return self
                         .reused
                         .as_mut()
@@ -349,7 +354,7 @@
         let size = buffer.len();
         let mut rest = buffer;
         let Some(outgoing) = outgoing else {
-            http1::request(&mut rest, "GET", "/alive", &[("Host", &self.address)], 0)?;
+            http1::write_request(&mut rest, "GET", "/alive", &[("Host", &self.address)], 0)?;
             return Ok(size - rest.len());
         };
         let time_left = ends.saturating_duration_since(Instant::now()).as_secs_f64();
@@ -363,7 +368,7 @@
         if let Some(fingerprint) = &outgoing.fingerprint {
             fields.push(("Idempotency-Key", fingerprint));
         }
-        http1::request(&mut rest, "POST", "/receive", &fields, outgoing.body.len())?;
+        http1::write_request(&mut rest, "POST", "/receive", &fields, outgoing.body.len())?;
         rest.write_all(&outgoing.body)?;
         Ok(size - rest.len())
     }
--- a/forwarder/server/src/targets/response.rs
+++ b/forwarder/server/src/targets/response.rs
@@ -2,7 +2,7 @@
 //! response reports for the target.
 
 use plankhill_decisions::interface::{AttemptOutcome, AttemptReport, Ms};
-use plankhill_forwarder_config::LEFT;
+use plankhill_forwarder_config::LIMIT_REMAINING_COLUMN;
 use plankhill_http1::ResponseHead;
 
 use crate::call_kind::CallKind;
@@ -11,9 +11,11 @@
 /// `Srv-Load: TEXT x0=0.4, x1=25`. None if the value cannot be parsed.
 pub(super) fn limit_remaining(head: &ResponseHead) -> Option<f64> {
     let values = head.fields.one("Srv-Load").ok()??.strip_prefix("TEXT ")?;
-    let value = values
-        .split(',')
-        .find_map(|pair| pair.trim().strip_prefix(LEFT)?.strip_prefix('='))?;
+    let value = values.split(',').find_map(|pair| {
+        pair.trim()
+            .strip_prefix(LIMIT_REMAINING_COLUMN)?
+            .strip_prefix('=')
+    })?;
     value.parse().ok()
 }
 
--- a/forwarder/server/src/targets/write.rs
+++ b/forwarder/server/src/targets/write.rs
@@ -5,7 +5,7 @@
 use std::io::{ErrorKind, Write};
 use std::time::Instant;
 
-use crate::stream::{is_quiet, until, Stream};
+use crate::stream::{is_open_without_data, until, Stream};
 
 /// Result of writing a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
 ) -> WriteOutcome {
     let mut rest = call;
     loop {
-        if !is_quiet(stream) {
+        if !is_open_without_data(stream) {
             let nothing_written = rest.len() == call.len();
             return if nothing_written {
                 WriteOutcome::Unusable
--- a/forwarder/server/src/targets/write/tests.rs
+++ b/forwarder/server/src/targets/write/tests.rs
@@ -12,7 +12,7 @@
 use rustix::net::sockopt::{set_socket_recv_buffer_size, set_socket_send_buffer_size};
 
 use super::{write_call, WriteOutcome};
-use crate::stream::{is_quiet, Stream};
+use crate::stream::{is_open_without_data, Stream};
 
 const LONG: Duration = Duration::from_secs(30);
 /// Larger than the two socket buffers together.
@@ -32,7 +32,7 @@
 /// Writes from the peer's end; returns once the bytes have arrived at the local end.
 fn write_from_peer(peer: &mut TcpStream, bytes: &[u8], receiver: &Stream) {
     peer.write_all(bytes).expect("the connection is open");
-    while is_quiet(receiver) {
+    while is_open_without_data(receiver) {
         std::thread::yield_now();
     }
 }
@@ -54,7 +54,7 @@
         b"" => drop(peer.shutdown(std::net::Shutdown::Write)),
         bytes => write_from_peer(&mut peer, bytes, &ours),
     }
-    while is_quiet(&ours) {
+    while is_open_without_data(&ours) {
         std::thread::yield_now();
     }
     let written = block_on(write_call(&ours, b"call", Instant::now() + LONG, || true));
--- a/forwarder/server/tests/admin_callers.rs
+++ b/forwarder/server/tests/admin_callers.rs
@@ -16,7 +16,7 @@
 
 #[rstest]
 fn each_of_many_simultaneous_callers_gets_a_response() {
-    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.wait_until_ready();
     forwarder.suspend();
     let call = |_| {
@@ -31,7 +31,7 @@
     // No caller closes its connection before all have their response.
     for mut caller in &callers {
         let mut response = String::new();
-        caller.set_read_timeout(Some(LONG)).expect("a socket");
+        caller.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         caller
             .read_to_string(&mut response)
             .expect("closed cleanly, not reset");
@@ -44,7 +44,7 @@
 /// getting responses.
 #[rstest]
 fn endless_bodies_with_long_chunk_extensions_are_aborted_and_delay_no_caller() {
-    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.wait_until_ready();
     let head = String::from_utf8(event_request("a", "job", "")).unwrap();
     let head = head.replace(
--- a/forwarder/server/tests/bad_targets.rs
+++ b/forwarder/server/tests/bad_targets.rs
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use peers::held::read_until_closed;
+use peers::blocked_target::read_until_closed;
 use peers::*;
 
 /// A response that continues for as long as the connection is open: the forwarder closes the
@@ -45,7 +45,7 @@
     #[case] slowly: bool,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let mut config = config(discovery, listener.local_addr().expect("bound"));
     config["settings"]["familyInfo"]["slots"] = json!(1);
     let forwarder = Forwarder::start(&config);
@@ -125,7 +125,7 @@
 #[rstest]
 fn a_connection_with_unread_bytes_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, listener.local_addr().expect("bound")));
     let mut first = answer_first_call(&forwarder, &listener);
     first
@@ -145,7 +145,7 @@
 #[case::suspended(true)]
 fn a_connection_past_its_keepalive_time_is_not_used_again(#[case] suspends: bool) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let mut config = config(discovery, listener.local_addr().expect("bound"));
     config["settings"]["allowed"]["keepaliveUs"] = json!(1_000_000);
     let forwarder = Forwarder::start(&config);
--- a/forwarder/server/tests/calls.rs
+++ b/forwarder/server/tests/calls.rs
@@ -31,9 +31,9 @@
     #[case] response: &str,
     #[case] expected: &[&str],
 ) {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", traffic, "Cookie: about=5\r\n");
-    receive(&calls).answer(&format!("{response}{CLOSE_CONNECTION}"));
+    receive(&calls).respond(&format!("{response}{CLOSE_CONNECTION}"));
     match expected {
         [] => assert_eq!(receive(&notices), given_up_notice("a")),
         ["again"] => assert_eq!(receive(&calls).id(), "a"),
@@ -53,22 +53,22 @@
 #[case("HTTP/1.1 500 Oh\r\nContent-Length: -2\r\n\r\n")]
 #[case("HTTP/1.1 500 Oh\r\nand no end")]
 fn malformed_responses_take_no_target_offline(#[case] response: &str) {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", "job", "");
     for _ in 0..3 {
         let call = receive(&calls);
         assert!(call.head.starts_with("POST /receive "), "{}", call.head);
-        call.answer(response);
+        call.respond(response);
     }
     let call = receive(&calls);
     assert!(call.head.starts_with("POST /receive "), "{}", call.head);
-    call.answer(OK);
+    call.respond(OK);
 }
 
 #[rstest]
 fn a_connection_that_the_target_closed_is_not_used_again() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, listener.local_addr().unwrap()));
     for id in ["a", "b"] {
         forwarder.submit(id, "charge", "");
@@ -87,12 +87,12 @@
 /// depend on it.
 #[rstest]
 fn an_idle_target_is_called_again() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     for id in ["a", "b"] {
         forwarder.submit(id, "job", "");
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(&format!("{OK}{CLOSE_CONNECTION}"));
+        call.respond(&format!("{OK}{CLOSE_CONNECTION}"));
         thread::sleep(Duration::from_millis(3500));
     }
 }
@@ -103,7 +103,7 @@
 #[case::few_slots(4)]
 #[case::many_slots(1024)]
 fn ten_thousand_idle_destinations_take_little_memory_at_any_number_of_slots(#[case] slots: usize) {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |config| {
         let unused = SocketAddr::from(([127, 0, 0, 1], 9));
         let members = config
             .pointer_mut("/known/members")
@@ -117,7 +117,7 @@
         config["settings"]["familyInfo"]["slots"] = json!(slots);
     });
     forwarder.submit("a", "job", "");
-    receive(&calls).answer(OK);
+    receive(&calls).respond(OK);
     let status = std::fs::read_to_string(format!("/proc/{}/status", forwarder.child.id()))
         .expect("process is running");
     let resident = status
@@ -140,7 +140,7 @@
 #[case::within_its_body("HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nabc")]
 #[case::without_an_end("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n")]
 fn a_truncated_200_response_completes_its_event_and_frees_its_slot(#[case] response: &str) {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |config| {
+    let (forwarder, calls, notices, _) = start_with_stubs(0, |config| {
         config["settings"]["familyInfo"]["slots"] = json!(1)
     });
     let ids: Vec<String> = (0..4).map(|number| format!("e{number}")).collect();
@@ -150,7 +150,7 @@
     for id in &ids {
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(response);
+        call.respond(response);
     }
     forwarder.submit("last", "job", "");
     assert_eq!(receive(&calls).id(), "last");
--- a/forwarder/server/tests/changed_settings.rs
+++ b/forwarder/server/tests/changed_settings.rs
@@ -40,7 +40,7 @@
 fn an_event_accepted_with_side_effects_is_not_repeated_and_its_order_is_kept(
     #[case] change: fn(&mut Value),
 ) {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
     forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
@@ -56,7 +56,7 @@
             calls.try_recv().is_err(),
             "the next event of the order key waits for the response"
         );
-        call.answer(OK);
+        call.respond(OK);
     }
 }
 
@@ -64,7 +64,7 @@
 /// effect twice if it were sent again.
 #[rstest]
 fn an_event_whose_type_has_gained_side_effects_is_not_repeated() {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", "job", "");
     let in_flight = receive(&calls);
     let _forwarder = restart_with(forwarder, |config| semantics(config, 0, "side_effect"));
@@ -85,7 +85,7 @@
             config["settings"]["allowed"]["attemptsCap"] = json!(1000);
         }
     };
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, window(before));
+    let (forwarder, calls, notices, _) = start_with_stubs(0, window(before));
     forwarder.submit("a", "order", "");
     // The event is sent again within the window, and gets no response there.
     let _in_flight = receive(&calls);
@@ -95,7 +95,7 @@
 
 #[rstest]
 fn a_successor_with_weaker_guarantees_does_not_take_over_pending_events() {
-    let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
@@ -106,18 +106,18 @@
         "{output}"
     );
     // The predecessor continues.
-    in_flight.answer(OK);
+    in_flight.respond(OK);
     first.submit("b", "charge", ORDER_KEY_COOKIE);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
-    call.answer(OK);
+    call.respond(OK);
 }
 
 /// Pending events of earlier settings are not handed over; once they have completed, a successor
 /// may take over.
 #[rstest]
 fn a_process_hands_over_once_its_events_of_earlier_settings_have_completed() {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
     forwarder.submit("b", "charge", ORDER_KEY_COOKIE);
@@ -127,7 +127,7 @@
     let call = receive(&calls);
     let output = expect_start_error(&second.folder.join("config.json"), &second.folder);
     assert!(output.contains("hands nothing over"), "{output}");
-    call.answer(OK);
+    call.respond(OK);
     second.submit("c", "job", "");
     assert_eq!(receive(&calls).id(), "c", "b has completed");
     let third = Forwarder::start_in(second.folder.clone());
--- a/forwarder/server/tests/clients.rs
+++ b/forwarder/server/tests/clients.rs
@@ -40,7 +40,7 @@
     #[case] request: &str,
     #[case] status: u16,
 ) {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     assert_eq!(forwarder.exchange(request.as_bytes()).0, status);
     forwarder.submit("good", "job", "");
     assert_eq!(receive(&calls).id(), "good");
@@ -53,7 +53,7 @@
     drop(stream);
     // In /proc/net/tcp: the peer's address and port, then CLOSE_WAIT.
     let closed = format!(":{port:04X} 08 ");
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .contains(&closed)
@@ -65,13 +65,13 @@
 
 #[rstest]
 fn a_client_that_closes_before_its_response_withdraws_its_event() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let mut stream = TcpStream::connect(forwarder.address).expect("connects");
     stream
         .write_all(&event_request("warm", "job", ""))
         .expect("write succeeds");
     assert_eq!(read_response(&mut stream).0, 202);
-    receive(&calls).answer(OK);
+    receive(&calls).respond(OK);
     forwarder.suspend();
     stream
         .write_all(&event_request("left", "job", ""))
@@ -89,7 +89,7 @@
 #[case("POST /job HTTP/1.1\r\n")]
 fn connections_without_a_request_are_closed_for_others(#[case] sent: &str) {
     let (forwarder, calls, _notices, _) =
-        start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
+        start_with_stubs(0, |config| config["limits"]["sockets"] = json!(64));
     let mut idle: Vec<_> = (0..100)
         .map(|_| TcpStream::connect(forwarder.address).expect("connects"))
         .collect();
@@ -99,7 +99,7 @@
     forwarder.submit("a", "job", "");
     assert_eq!(receive(&calls).id(), "a");
     for mut stream in idle {
-        stream.set_read_timeout(Some(LONG)).expect("a socket");
+        stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         while !matches!(stream.read(&mut [0; 256]), Ok(0) | Err(_)) {}
     }
 }
@@ -109,7 +109,7 @@
 #[rstest]
 fn connections_with_one_request_are_closed_before_one_with_more() {
     let (forwarder, calls, _notices, _) =
-        start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
+        start_with_stubs(0, |config| config["limits"]["sockets"] = json!(64));
     let up = |stream: &mut TcpStream| {
         stream
             .write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -135,7 +135,7 @@
 /// clients may open.
 #[rstest]
 fn with_many_open_a_connection_with_one_request_is_closed_long_before_one_with_more() {
-    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _) = start_with_stubs(0, |_| ());
     let up = b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n";
     let connection_with = |times: usize| {
         let mut stream = TcpStream::connect(forwarder.address).expect("connects");
@@ -148,7 +148,7 @@
     let one_request_each: Vec<_> = (0..60).map(|_| connection_with(1)).collect();
     let active = connection_with(2);
     let mut last = one_request_each.into_iter().next_back().expect("connected");
-    last.set_read_timeout(Some(LONG)).expect("a socket");
+    last.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     assert_eq!(last.read(&mut [0]).expect("end of stream"), 0);
     active.set_nonblocking(true).expect("a socket");
     let open = active
@@ -161,7 +161,7 @@
 /// its SYN.
 #[rstest]
 fn hundreds_may_connect_while_the_process_is_suspended() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.suspend();
     let connect = |_| TcpStream::connect_timeout(&forwarder.address, Duration::from_secs(20));
     let many: Vec<_> = (0..300)
@@ -180,7 +180,7 @@
 #[case::first(false)]
 #[case::pipelined(true)]
 fn the_deadline_counts_from_the_first_byte_of_a_request(#[case] pipelined: bool) {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let request = String::from_utf8(event_request("a", "job", "Expect: 100-continue\r\n")).unwrap();
     let request = request.replace("Req-Deadline: 60", "Req-Deadline: 1.2");
     let (head, body) = request.split_at(request.len() - 4);
@@ -193,12 +193,12 @@
     stream
         .write_all(&[&before, head.as_bytes()].concat())
         .expect("write succeeds");
-    stream.set_read_timeout(Some(LONG)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     let mut answers = BufReader::new(stream.try_clone().expect("a descriptor"));
     let mut status = move || read_message(&mut answers).expect("an answer").0[9..12].to_owned();
     if pipelined {
         assert_eq!(status(), "202");
-        receive(&calls).answer(OK);
+        receive(&calls).respond(OK);
     }
     assert_eq!(status(), "100", "its head was read");
     thread::sleep(Duration::from_millis(400));
@@ -212,12 +212,12 @@
     // However slow the machine is, the deadline sent to the target is not after the client's.
     assert!(remaining > 0.0 && remaining <= 0.8, "{remaining} s");
     assert_eq!(status(), "202");
-    call.answer(OK);
+    call.respond(OK);
 }
 
 #[rstest]
 fn the_longest_body_in_chunks_of_one_byte_is_accepted() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let head = String::from_utf8(event_request("a", "job", "")).unwrap();
     let head = head.replace(
         "Content-Length: 4\r\n\r\nbody",
@@ -232,5 +232,5 @@
     assert_eq!(forwarder.exchange(&request).0, 202);
     let call = receive(&calls);
     assert!(call.body == vec![b'x'; 64 * 1024]);
-    call.answer(OK);
+    call.respond(OK);
 }
--- a/forwarder/server/tests/closing.rs
+++ b/forwarder/server/tests/closing.rs
@@ -16,7 +16,7 @@
 /// Reads all text until the other side closes the connection without a reset.
 fn read_until_clean_close(mut stream: &TcpStream) -> String {
     let mut response = Vec::new();
-    stream.set_read_timeout(Some(LONG)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     stream
         .read_to_end(&mut response)
         .expect("closed cleanly, not reset");
@@ -39,7 +39,7 @@
     #[case] request: Vec<u8>,
     #[case] status: &str,
 ) {
-    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _) = start_with_stubs(0, |_| ());
     let stream = TcpStream::connect(forwarder.address).expect("connects");
     // All bytes are sent, as far as the buffers take them, before any is read.
     forwarder.suspend();
@@ -65,7 +65,7 @@
 /// those clients against a reset.
 #[rstest]
 fn incomplete_requests_release_their_buffers_and_get_a_response() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |config| {
         config["limits"] = json!({"cores": 1, "memory_mb": 16, "sockets": 1024, "disk_mb": 3});
     });
     let request = event_request("half", "job", "Expect: 100-continue\r\n");
@@ -88,7 +88,7 @@
     // The response has arrived, unread, while the client still sends: the connection accepts those
     // bytes while it lingers.
     let mut seen = [0; 12];
-    first.set_read_timeout(Some(LONG)).expect("a socket");
+    first.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     assert_eq!(first.peek(&mut seen).expect("an answer"), 12);
     first.write_all(b"bo").expect("write succeeds");
     first.shutdown(Shutdown::Write).expect("open");
@@ -100,14 +100,14 @@
 #[rstest]
 fn lingering_connections_are_closed_first_for_others() {
     let (forwarder, calls, _notices, _) =
-        start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
+        start_with_stubs(0, |config| config["limits"]["sockets"] = json!(64));
     let mut active = TcpStream::connect(forwarder.address).expect("connects");
     for id in ["a", "b"] {
         active
             .write_all(&event_request(id, "job", ""))
             .expect("write succeeds");
         assert_eq!(read_response(&mut active).0, 202);
-        receive(&calls).answer(OK);
+        receive(&calls).respond(OK);
     }
     let send_invalid = |_| {
         let mut stream = TcpStream::connect(forwarder.address).expect("connects");
@@ -131,7 +131,7 @@
 #[case::idle_timeout(None)]
 #[case::shutdown(Some("-TERM"))]
 fn a_request_in_the_iteration_of_an_idle_close_is_answered(#[case] signal: Option<&str>) {
-    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _) = start_with_stubs(0, |_| ());
     let mut idle = TcpStream::connect(forwarder.address).expect("connects");
     idle.write_all(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
         .expect("write succeeds");
--- a/forwarder/server/tests/concurrent_starts.rs
+++ b/forwarder/server/tests/concurrent_starts.rs
@@ -94,7 +94,7 @@
     )]
     mode: DiscoveryMode,
 ) {
-    let (target, _calls) = stand_in();
+    let (target, _calls) = stub_server();
     let (address, _listener) = discovery(mode);
     let folders: Vec<_> = (0..PROCESSES)
         .map(|number| {
@@ -116,7 +116,7 @@
             thread::spawn(move || {
                 let forwarder = Forwarder::start_in(folder);
                 while forwarder.exchange(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n").0 != 200 {
-                    assert!(started_at.elapsed() < LONG, "the forwarder is not ready");
+                    assert!(started_at.elapsed() < TIMEOUT, "the forwarder is not ready");
                     thread::sleep(Duration::from_millis(5));
                 }
                 (started_at.elapsed().as_secs_f64(), forwarder)
--- a/forwarder/server/tests/descriptors.rs
+++ b/forwarder/server/tests/descriptors.rs
@@ -41,7 +41,7 @@
 #[case::configured_at_the_limit(MAX_DESCRIPTORS)]
 #[case::configured_above_the_limit(2 * MAX_DESCRIPTORS)]
 fn idle_clients_at_the_limit_block_no_list_notice_target_or_operator(#[case] sockets: usize) {
-    let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
+    let ((old, old_calls), (new, new_calls)) = (stub_server(), stub_server());
     let (discovery, requests) = manual_discovery();
     let mut config_value = config(discovery, old);
     config_value["limits"]["sockets"] = json!(sockets);
@@ -56,7 +56,7 @@
     forwarder.submit("a", "charge", "");
     let call = receive(&new_calls);
     assert_eq!(call.id(), "a");
-    call.answer(ERROR);
+    call.respond(ERROR);
     let notice =
         std::iter::repeat_with(|| receive(&requests)).find(|r| r.head.starts_with("POST /status "));
     notice
--- a/forwarder/server/tests/discovery_failures.rs
+++ b/forwarder/server/tests/discovery_failures.rs
@@ -74,7 +74,7 @@
     )]
     failure: Failure,
 ) {
-    let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
+    let ((old, old_calls), (new, new_calls)) = (stub_server(), stub_server());
     let (discovery, requests) = manual_discovery();
     let (forwarder, _) = start(discovery, old, discovery_mode, 1);
     let mut first = watch(&requests);
@@ -141,7 +141,7 @@
 /// the complete list.
 #[rstest]
 fn an_older_revision_is_ignored_unless_it_is_a_requested_complete_list() {
-    let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
+    let ((old, old_calls), (new, new_calls)) = (stub_server(), stub_server());
     let (discovery, requests) = manual_discovery();
     let (forwarder, _) = start(discovery, old, "pushed", 1);
     watch(&requests).write(&list_response(
@@ -181,7 +181,7 @@
 #[case::changes(false)]
 #[case::complete(true)]
 fn a_discovery_that_answers_at_once_is_not_asked_in_a_busy_loop(#[case] complete: bool) {
-    let (target, _calls) = stand_in();
+    let (target, _calls) = stub_server();
     let (discovery, requests) = manual_discovery();
     let (_forwarder, _) = start(discovery, target, "pushed", 1);
     let mut first = watch(&requests);
@@ -209,7 +209,7 @@
 }
 
 fn is_new_address_asked_at_once() -> bool {
-    let (target, _calls) = stand_in();
+    let (target, _calls) = stub_server();
     let ((old, old_requests), (new, requests)) = (manual_discovery(), manual_discovery());
     let (forwarder, mut config_value) = start(old, target, "on_request", 300);
     // The backoff after the third failure is at least 1.5 s.
@@ -250,7 +250,7 @@
     let short = Duration::from_millis(300);
     let full: Vec<TcpStream> =
         std::iter::from_fn(|| TcpStream::connect_timeout(&discovery, short).ok()).collect();
-    let (target, _calls) = stand_in();
+    let (target, _calls) = stub_server();
     let began = Instant::now();
     let (forwarder, _) = start(discovery, target, "on_request", 1);
     forwarder.wait_for_log("discovery failed, error: timed out");
--- a/forwarder/server/tests/end_to_end.rs
+++ b/forwarder/server/tests/end_to_end.rs
@@ -1,4 +1,4 @@
-//! The forwarder on real sockets, with stand-ins for target, discovery and client.
+//! The forwarder on real sockets, with stubs for target, discovery and client.
 
 mod peers;
 
@@ -12,7 +12,7 @@
 
 #[rstest]
 fn an_event_reaches_its_target_unchanged_over_one_connection() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let mut stream = TcpStream::connect(forwarder.address).expect("connects");
     for id in ["a", "b"] {
         stream
@@ -23,7 +23,7 @@
         assert!(call.head.starts_with("POST /receive HTTP/1.1\r\n"));
         assert_eq!((call.id(), &call.body[..]), (id, &b"body"[..]));
         assert_eq!(call.field("Idempotency-Key"), Some(&*format!("f-{id}")));
-        call.answer(OK);
+        call.respond(OK);
     }
     let chunked = "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n";
     let request = String::from_utf8(event_request("c", "order", "")).unwrap();
@@ -45,10 +45,10 @@
 /// Guards other notices against an event id that the platform rejects.
 #[rstest]
 fn an_unreadable_notice_delays_no_other() {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     for id in ["unreadable", "a"] {
         forwarder.submit(id, "charge", "Cookie: about=5\r\n");
-        receive(&calls).answer(ERROR);
+        receive(&calls).respond(ERROR);
     }
     assert_eq!(receive(&notices), given_up_notice("unreadable"));
     assert_eq!(receive(&notices), given_up_notice("a"));
@@ -56,7 +56,7 @@
 
 #[rstest]
 fn an_event_for_an_unlisted_destination_is_rejected() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let unlisted = String::from_utf8(event_request("a", "job", ""))
         .unwrap()
         .replace("dest=1", "dest=70000");
@@ -67,7 +67,7 @@
 
 #[rstest]
 fn events_above_the_limit_are_rejected_with_retry_after() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |config| {
         config["settings"]["allowed"]["maxOpen"] = json!(2)
     });
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
@@ -84,14 +84,14 @@
         .expect("at most two are accepted");
     assert_eq!(status, 503);
     assert!(head.contains("Retry-After: 2.000\r\n"), "{head}");
-    in_flight.answer(OK);
+    in_flight.respond(OK);
 }
 
 /// Guards the read buffers: a pending event holds none, because other requests cannot be read
 /// without one.
 #[rstest]
 fn short_events_are_accepted_up_to_the_limit_with_little_memory() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |config| {
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |config| {
         config["limits"]["memory_mb"] = json!(16);
         config["settings"]["allowed"]["maxOpen"] = json!(300);
     });
@@ -103,7 +103,7 @@
 /// when the other client disconnects nor sent twice.
 #[rstest]
 fn an_event_id_used_by_two_clients_is_accepted_once_and_stays_with_the_first() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", "charge", "");
     let in_flight = receive(&calls);
     assert_eq!(forwarder.exchange(&event_request("a", "charge", "")).0, 503);
@@ -114,7 +114,7 @@
         .expect("the kernel accepts it");
     drop(second_client);
     forwarder.signal("-CONT");
-    in_flight.answer(OK);
+    in_flight.respond(OK);
     forwarder.submit("b", "charge", "");
     assert_eq!(receive(&calls).id(), "b", "a has completed");
     assert_eq!(forwarder.exchange(&event_request("a", "charge", "")).0, 503);
--- a/forwarder/server/tests/endpoint_list.rs
+++ b/forwarder/server/tests/endpoint_list.rs
@@ -17,15 +17,15 @@
     let reserved = TcpListener::bind("127.0.0.1:0").expect("a port");
     let unreachable =
         SocketAddr::from(([127, 0, 0, 2], reserved.local_addr().expect("bound").port()));
-    let (discovery, watches, _notices) = discovery_stand_in(0);
+    let (discovery, watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, unreachable));
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
-    let (target, calls) = stand_in();
+    let (target, calls) = stub_server();
     let watch = receive(&watches);
     assert!(watch
         .head
         .starts_with("GET /discovery/hosts?since=41&timeout_ms="));
-    watch.answer(&changes_response(&[member("t", target, "up")]));
+    watch.respond(&changes_response(&[member("t", target, "up")]));
     let call = std::iter::repeat_with(|| receive(&calls))
         .find(|call| !call.head.starts_with("GET /alive"));
     assert_eq!(call.expect("iterator is endless").id(), "a");
@@ -36,13 +36,13 @@
 #[case("draining")]
 #[case("removed")]
 fn no_new_event_is_sent_to_a_leaving_target(#[case] phase: &str) {
-    let (old, old_calls) = stand_in();
-    let (new, new_calls) = stand_in();
-    let (discovery, watches, _notices) = discovery_stand_in(0);
+    let (old, old_calls) = stub_server();
+    let (new, new_calls) = stub_server();
+    let (discovery, watches, _notices) = discovery_stub(0);
     let mut forwarder = Forwarder::start(&config(discovery, old));
     forwarder.submit("a", "job", "");
-    receive(&old_calls).answer(OK);
-    receive(&watches).answer(&changes_response(&[
+    receive(&old_calls).respond(OK);
+    receive(&watches).respond(&changes_response(&[
         member("t", old, phase),
         member("u", new, "up"),
         json!({"id": "odd"}),
@@ -62,11 +62,11 @@
         let mut call = receive(&new_calls);
         while let Some(at) = unread.iter().position(|id| *id == call.id()) {
             unread.remove(at);
-            call.answer(OK);
+            call.respond(OK);
             call = receive(&new_calls);
         }
         assert_eq!(call.id(), id);
-        call.answer(OK);
+        call.respond(OK);
     }
     assert!(old_calls.try_recv().is_err());
 }
@@ -75,9 +75,9 @@
 /// under load. An invalid file does not end the process.
 #[rstest]
 fn on_sighup_the_watch_and_notices_move_and_no_event_is_lost() {
-    let (target, calls) = stand_in();
-    let (old, old_watches, old_notices) = discovery_stand_in(0);
-    let (new, watches, notices) = discovery_stand_in(0);
+    let (target, calls) = stub_server();
+    let (old, old_watches, old_notices) = discovery_stub(0);
+    let (new, watches, notices) = discovery_stub(0);
     let mut config_value = config(old, target);
     let forwarder = Forwarder::start(&config_value);
     let _open_watch = receive(&old_watches);
@@ -92,12 +92,12 @@
     std::fs::write(&file, config_value.to_string()).expect("written");
     forwarder.signal("-HUP");
     forwarder.wait_for_log("configuration change needs a restart, key: limits");
-    in_flight.answer(ERROR);
+    in_flight.respond(ERROR);
     assert_eq!(receive(&notices), given_up_notice("a"));
     let watch = receive(&watches);
     assert!(watch.head.contains("since=41"), "{}", watch.head);
-    let (other, other_calls) = stand_in();
-    watch.answer(&changes_response(&[
+    let (other, other_calls) = stub_server();
+    watch.respond(&changes_response(&[
         member("t", target, "removed"),
         member("u", other, "up"),
     ]));
@@ -111,7 +111,7 @@
 /// call could be sent before those are read.
 #[rstest]
 fn after_a_suspension_all_updates_are_processed_before_any_call() {
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     while !backoff_ends_during_a_suspension() {
         assert!(
             Instant::now() < by,
@@ -125,24 +125,24 @@
 fn backoff_ends_during_a_suspension() -> bool {
     // Half a second less the jitter.
     const MIN_BACKOFF: Duration = Duration::from_millis(375);
-    let (old, old_calls) = stand_in();
-    let (new, new_calls) = stand_in();
-    let (discovery, watches, _notices) = discovery_stand_in(0);
+    let (old, old_calls) = stub_server();
+    let (new, new_calls) = stub_server();
+    let (discovery, watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, old));
     let watch = receive(&watches);
     forwarder.submit("a", "job", "");
     let call = receive(&old_calls);
     let before_backoff = Instant::now();
-    call.answer(ERROR);
+    call.respond(ERROR);
     // The backoff ends and the watch's response arrives during the suspension; the call of b shows
     // that the error was processed.
     forwarder.submit("b", "job", "");
-    receive(&old_calls).answer(OK);
+    receive(&old_calls).respond(OK);
     forwarder.suspend();
     if before_backoff.elapsed() >= MIN_BACKOFF {
         return false;
     }
-    watch.answer(&changes_response(&[
+    watch.respond(&changes_response(&[
         member("t", old, "draining"),
         member("u", new, "up"),
     ]));
--- a/forwarder/server/tests/floods.rs
+++ b/forwarder/server/tests/floods.rs
@@ -18,7 +18,7 @@
 /// connection never waits.
 #[rstest]
 fn an_endless_sender_does_not_delay_other_clients() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let flood = TcpStream::connect(forwarder.address).expect("connects");
     let (mut writes, mut reads) = (
         flood.try_clone().expect("a descriptor"),
@@ -38,7 +38,7 @@
         forwarder.submit(id, "job", "");
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(OK);
+        call.respond(OK);
     }
     assert_eq!(forwarder.call_admin("GET", "/-/ready"), 200);
     let _ = flood.shutdown(std::net::Shutdown::Both);
@@ -50,7 +50,7 @@
 #[case::responses_are_not_read(false)]
 fn connections_with_pipelined_requests_are_closed_for_others(#[case] reads: bool) {
     let (forwarder, calls, _notices, _) =
-        start_with_stand_ins(0, |config| config["limits"]["sockets"] = json!(64));
+        start_with_stubs(0, |config| config["limits"]["sockets"] = json!(64));
     let (progress, progress_reports) = channel();
     for _ in 0..16 {
         let mut writer = TcpStream::connect(forwarder.address).expect("connects");
@@ -73,6 +73,6 @@
         forwarder.submit(id, "job", "");
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(OK);
+        call.respond(OK);
     }
 }
--- a/forwarder/server/tests/invalid_files.rs
+++ b/forwarder/server/tests/invalid_files.rs
@@ -33,7 +33,7 @@
 
 fn start_fails(state: &Path) -> String {
     let config_folder = folder();
-    let (target, _calls) = stand_in();
+    let (target, _calls) = stub_server();
     let file = config_folder.path().join("config.json");
     fs::write(&file, config(target, target).to_string()).expect("written");
     expect_start_error(&file, state)
@@ -115,7 +115,7 @@
 #[case::running(true)]
 #[case::ended(false)]
 fn the_folder_of_another_forwarder_is_neither_used_nor_taken_over(#[case] runs: bool) {
-    let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "job", "");
     let in_flight = receive(&calls);
@@ -124,7 +124,7 @@
         first.child.wait().expect("process exits");
     }
     let before = content(&first.folder);
-    let (config_folder, (other, other_calls)) = (folder(), stand_in());
+    let (config_folder, (other, other_calls)) = (folder(), stub_server());
     let file = config_folder.path().join("config.json");
     let mut config = config(other, other);
     config["name"] = json!("n1");
@@ -135,13 +135,13 @@
         "{output}"
     );
     assert_eq!(content(&first.folder), before);
-    let at_targets = |asked: Asked| asked.head.starts_with("POST /receive");
+    let at_targets = |asked: ReceivedRequest| asked.head.starts_with("POST /receive");
     assert!(
         !other_calls.try_iter().any(at_targets),
         "no event of one forwarder is sent to the other's targets"
     );
     if runs {
-        in_flight.answer(OK);
+        in_flight.respond(OK);
         first.submit("b", "job", "");
     } else {
         first = Forwarder::start_in(std::mem::take(&mut first.folder));
@@ -154,8 +154,8 @@
 #[rstest]
 fn an_empty_list_file_counts_as_missing() {
     let (forwarder, calls, _notices, _watches) = {
-        let (target, calls) = stand_in();
-        let (discovery, watches, notices) = discovery_stand_in(0);
+        let (target, calls) = stub_server();
+        let (discovery, watches, notices) = discovery_stub(0);
         let empty = |folder: &Path| fs::write(folder.join("list"), b"").expect("written");
         (
             Forwarder::start_prepared(&config(discovery, target), empty),
@@ -174,12 +174,12 @@
 #[case::missing(None, "cannot be read")]
 #[case::unknown_word(Some("semantics"), "semantics: unknown word")]
 fn a_reload_of_an_invalid_file_changes_nothing(#[case] text: Option<&str>, #[case] message: &str) {
-    let (forwarder, calls, notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, notices, _watches) = start_with_stubs(0, |_| ());
     forwarder.wait_until_ready();
     let file = forwarder.folder.join("config.json");
     match text {
         Some("semantics") => {
-            let (elsewhere, _) = stand_in();
+            let (elsewhere, _) = stub_server();
             let mut config = config(elsewhere, elsewhere);
             config["settings"]["profiles"][2]["semantics"] = json!("twice");
             fs::write(&file, config.to_string()).expect("written");
@@ -195,6 +195,6 @@
     );
     // The address of discovery and the semantics of `charge` are unchanged.
     forwarder.submit("a", "charge", "");
-    receive(&calls).answer(ERROR);
+    receive(&calls).respond(ERROR);
     assert_eq!(receive(&notices), given_up_notice("a"));
 }
--- a/forwarder/server/tests/late_calls.rs
+++ b/forwarder/server/tests/late_calls.rs
@@ -9,7 +9,7 @@
 use rstest::rstest;
 use serde_json::json;
 
-use peers::held::*;
+use peers::blocked_target::*;
 use peers::*;
 
 /// A retry is decided within its deduplication window, and its connection is ready only after it:
@@ -18,8 +18,8 @@
 #[rstest]
 fn a_retry_whose_connection_is_ready_after_its_window_is_not_sent() {
     let window = Duration::from_millis(1400);
-    let mut target = HeldTarget::new();
-    let (discovery, _watches, notices) = discovery_stand_in(0);
+    let mut target = BlockedTarget::new();
+    let (discovery, _watches, notices) = discovery_stub(0);
     let mut config = config(discovery, target.address());
     config["settings"]["profiles"][1]["windowUs"] = json!(window.as_micros() as u64);
     let forwarder = Forwarder::start(&config);
@@ -28,7 +28,7 @@
     let mut from = BufReader::new(first);
     read_message(&mut from).expect("a call");
     let window_ends = Instant::now() + window;
-    target.hold();
+    target.fill_backlog();
     drop(from); // the call may have run
     target.wait_for_dial();
     forwarder.suspend();
@@ -49,10 +49,10 @@
 #[case::binding("charge")]
 #[case::retriable("job")]
 fn a_call_whose_connection_is_ready_after_the_deadline_is_not_sent(#[case] traffic: &str) {
-    let mut target = HeldTarget::new();
-    let (discovery, _watches, notices) = discovery_stand_in(0);
+    let mut target = BlockedTarget::new();
+    let (discovery, _watches, notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
-    target.hold();
+    target.fill_backlog();
     let event = String::from_utf8(event_request("a", traffic, "")).expect("UTF-8");
     assert_eq!(
         forwarder
@@ -78,8 +78,8 @@
 /// suspended. A call that counted as unanswered would be given up, although it was delivered.
 #[rstest]
 fn a_response_during_a_suspension_counts_after_the_deadline() {
-    let target = HeldTarget::new();
-    let (discovery, _watches, notices) = discovery_stand_in(0);
+    let target = BlockedTarget::new();
+    let (discovery, _watches, notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
     let event = String::from_utf8(event_request("a", "charge", ORDER_KEY_COOKIE)).expect("UTF-8");
     assert_eq!(
--- a/forwarder/server/tests/notice_deadlines.rs
+++ b/forwarder/server/tests/notice_deadlines.rs
@@ -18,8 +18,8 @@
 
 /// Starts a forwarder with an agent that cannot send the complete endpoint list. Returns the
 /// forwarder, its calls, and the notices that the agent receives.
-fn start_with_agent() -> (Forwarder, Receiver<Asked>, Receiver<Request>) {
-    let (target, calls) = stand_in();
+fn start_with_agent() -> (Forwarder, Receiver<ReceivedRequest>, Receiver<Request>) {
+    let (target, calls) = stub_server();
     let (discovery, requests) = manual_discovery();
     let (notice, notices) = channel();
     thread::spawn(move || {
@@ -45,9 +45,9 @@
 /// notices are due then. Returns their calls.
 fn start_calls<const N: usize>(
     forwarder: &Forwarder,
-    calls: &Receiver<Asked>,
+    calls: &Receiver<ReceivedRequest>,
     ids: [&str; N],
-) -> [Asked; N] {
+) -> [ReceivedRequest; N] {
     ids.map(|id| {
         forwarder.submit(id, "charge", "");
         let call = receive(calls);
@@ -82,10 +82,10 @@
 fn are_acknowledged_in_time(fault: ConnectionFault) -> bool {
     let (forwarder, calls, notices) = start_with_agent();
     let [a, b, c] = start_calls(&forwarder, &calls, ["a", "b", "c"]);
-    a.answer(ERROR);
+    a.respond(ERROR);
     let mut first = receive(&notices);
     first.write(ACKNOWLEDGED);
-    b.answer(ERROR);
+    b.respond(ERROR);
     let mut stuck = receive(&notices);
     assert_eq!(
         stuck.connection, first.connection,
@@ -97,7 +97,7 @@
         ConnectionFault::Closed => stuck.disconnect(),
     }
     let began = Instant::now();
-    c.answer(ERROR);
+    c.respond(ERROR);
     let mut acknowledged = Vec::new();
     while !acknowledged.contains(&given_up_notice("c")) {
         let mut retry = receive(&notices);
@@ -117,9 +117,9 @@
 fn notices_due_while_the_agent_is_unresponsive_are_sent_with_the_next_retry() {
     let (forwarder, calls, notices) = start_with_agent();
     let [a, b] = start_calls(&forwarder, &calls, ["a", "b"]);
-    a.answer(ERROR);
+    a.respond(ERROR);
     let first = receive(&notices);
-    b.answer(ERROR);
+    b.respond(ERROR);
     let mut both = std::iter::repeat_with(|| receive(&notices))
         .take(20)
         .find(|request| {
--- a/forwarder/server/tests/operators.rs
+++ b/forwarder/server/tests/operators.rs
@@ -18,7 +18,7 @@
 
 #[rstest]
 fn admin_commands_have_expected_statuses_and_may_be_repeated() {
-    let (forwarder, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _watches) = start_with_stubs(0, |_| ());
     forwarder.wait_until_ready();
     for (method, path, status) in [
         ("GET", "/-/ready", 200),
@@ -50,7 +50,7 @@
 /// limit of admin connections several times over; clients use up their own limit.
 #[rstest]
 fn incomplete_admin_requests_and_many_clients_delay_no_operator() {
-    let (forwarder, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _watches) = start_with_stubs(0, |_| ());
     forwarder.wait_until_ready();
     let crowd: Vec<_> = (0..300)
         .map(|_| TcpStream::connect(forwarder.address).expect("connects"))
@@ -75,7 +75,7 @@
     }
     // The forwarder closes each of these connections.
     for mut caller in incomplete {
-        caller.set_read_timeout(Some(LONG)).expect("a socket");
+        caller.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         let mut output = Vec::new();
         let _ = caller.read_to_end(&mut output);
     }
@@ -85,8 +85,8 @@
 /// The call of a marker event shows that all earlier decisions have been carried out.
 #[rstest]
 fn a_disabled_target_gets_no_event_across_list_changes_and_kills_until_it_is_enabled() {
-    let (other, others) = stand_in();
-    let (mut forwarder, calls, _notices, watches) = start_with_stand_ins(0, |config| {
+    let (other, others) = stub_server();
+    let (mut forwarder, calls, _notices, watches) = start_with_stubs(0, |config| {
         let mut marker = member("m", other, "up");
         marker["cell"] = json!(2);
         config["known"]["members"]
@@ -110,15 +110,15 @@
         // The process may have been killed before it read the response to the last marker, which is
         // then sent again.
         if call.id() == "l1" && id == "m2" {
-            call.answer(OK);
+            call.respond(OK);
             call = receive(&others);
         }
         assert_eq!(call.id(), id);
-        call.answer(OK);
+        call.respond(OK);
     };
     send_marker(&forwarder, "m1");
     for (number, page_of) in [[removal.clone()], [listed.clone()]].iter().enumerate() {
-        receive(&watches).answer(&changes_response(page_of));
+        receive(&watches).respond(&changes_response(page_of));
         send_marker(&forwarder, &format!("l{number}"));
     }
     forwarder.restart("-KILL");
@@ -133,7 +133,7 @@
 
 #[rstest]
 fn a_damaged_file_of_disabled_targets_ends_the_start() {
-    let (mut forwarder, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut forwarder, _calls, _notices, _watches) = start_with_stubs(0, |_| ());
     assert_eq!(forwarder.call_admin("POST", "/-/targets/t/disable"), 200);
     forwarder.child.kill().expect("process is running");
     forwarder.child.wait().expect("process exits");
@@ -149,7 +149,7 @@
 
 #[rstest]
 fn a_drain_closes_idle_clients_accepts_late_events_and_can_be_resumed() {
-    let (forwarder, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     let mut idle = TcpStream::connect(forwarder.address).expect("connects");
     idle.write_all(UP).expect("write succeeds");
     assert_eq!(read_response(&mut idle).0, 200);
@@ -161,7 +161,7 @@
             200,
             "it still processes accepted events"
         );
-        idle.set_read_timeout(Some(LONG)).expect("a socket");
+        idle.set_read_timeout(Some(TIMEOUT)).expect("a socket");
         assert_eq!(
             idle.read(&mut [0]).expect("end of stream"),
             0,
@@ -177,7 +177,7 @@
         assert_eq!(forwarder.exchange(UP).0, 200);
         let call = receive(&calls);
         assert_eq!(call.id(), late);
-        call.answer(OK);
+        call.respond(OK);
         idle = TcpStream::connect(forwarder.address).expect("connects");
         for id in ["x", "y"].map(|id| format!("{id}{round}")) {
             idle.write_all(&event_request(&id, "job", ""))
@@ -185,7 +185,7 @@
             assert_eq!(read_response(&mut idle).0, 202);
             let call = receive(&calls);
             assert_eq!(call.id(), id);
-            call.answer(OK);
+            call.respond(OK);
         }
     }
 }
--- a/forwarder/server/tests/peers/held.rs
+++ b/forwarder/server/tests/peers/blocked_target.rs
@@ -5,19 +5,19 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use super::LONG;
+use super::TIMEOUT;
 
 /// A listener with a backlog of one connection, which is filled: the next SYN gets no answer, and
 /// the kernel of the connecting side repeats it, the first time after a second, also while the
 /// connecting process is suspended.
-pub struct HeldTarget {
+pub struct BlockedTarget {
     pub listener: TcpListener,
     fillers: Vec<TcpStream>,
 }
 
-impl HeldTarget {
+impl BlockedTarget {
     pub fn new() -> Self {
-        HeldTarget {
+        BlockedTarget {
             listener: TcpListener::bind("127.0.0.1:0").expect("a port"),
             fillers: Vec::new(),
         }
@@ -28,7 +28,7 @@
     }
 
     /// Fills the backlog: no connection is established from now on.
-    pub fn hold(&mut self) {
+    pub fn fill_backlog(&mut self) {
         rustix::net::listen(&self.listener, 0).expect("listens");
         while let Ok(filler) =
             TcpStream::connect_timeout(&self.address(), Duration::from_millis(200))
@@ -38,7 +38,7 @@
     }
 
     /// Whether a connect to the target is pending (`SYN_SENT`).
-    pub fn dialled(&self) -> bool {
+    pub fn has_pending_connect(&self) -> bool {
         let to = format!(":{:04X} 02 ", self.address().port());
         std::fs::read_to_string("/proc/net/tcp")
             .expect("Linux")
@@ -47,8 +47,8 @@
 
     /// Returns once a connect to the target is pending.
     pub fn wait_for_dial(&self) {
-        let by = Instant::now() + LONG;
-        while !self.dialled() {
+        let by = Instant::now() + TIMEOUT;
+        while !self.has_pending_connect() {
             assert!(Instant::now() < by, "no connect is pending");
             thread::yield_now();
         }
@@ -79,7 +79,7 @@
         let fields: Vec<&str> = line.split_whitespace().collect();
         fields.len() > 4 && fields[2].ends_with(&from) && !fields[4].ends_with(":00000000")
     };
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     while !std::fs::read_to_string("/proc/net/tcp")
         .expect("Linux")
         .lines()
@@ -92,7 +92,7 @@
 
 /// Reads until the other side closes the connection, an error or the time-out; returns the text.
 pub fn read_until_closed(stream: &mut TcpStream) -> String {
-    stream.set_read_timeout(Some(LONG)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     let (mut received, mut piece) = (Vec::new(), [0; 4096]);
     while let Ok(read @ 1..) = stream.read(&mut piece) {
         received.extend_from_slice(&piece[..read]);
--- a/forwarder/server/tests/peers/mod.rs
+++ b/forwarder/server/tests/peers/mod.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for a forwarder's peers, and the forwarder itself as a process.
+//! Stubs for a forwarder's peers, and the forwarder itself as a process.
 #![allow(dead_code, unused_imports)] // each test file uses some of it
 
-pub mod held;
+pub mod blocked_target;
 pub mod manual_discovery;
 mod process;
-mod stand_ins;
+mod stub_servers;
 pub mod successor;
 
 use std::net::SocketAddr;
@@ -14,9 +14,9 @@
 use serde_json::{json, Value};
 
 pub use process::*;
-pub use stand_ins::*;
+pub use stub_servers::*;
 
-pub const LONG: Duration = Duration::from_secs(30);
+pub const TIMEOUT: Duration = Duration::from_secs(30);
 pub const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
 pub const ORDER_KEY_COOKIE: &str = "Cookie: about=5\r\n";
 pub const ERROR: &str = "HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n";
@@ -53,19 +53,24 @@
 /// Starts a target, discovery and a forwarder; returns the forwarder, the target's calls, and the
 /// notices and watches that discovery receives. Discovery rejects the first `failing_notices`
 /// notice requests.
-pub fn start_with_stand_ins(
+pub fn start_with_stubs(
     failing_notices: usize,
     change: impl FnOnce(&mut Value),
-) -> (Forwarder, Receiver<Asked>, Receiver<Value>, Receiver<Asked>) {
-    let (target, calls) = stand_in();
-    let (discovery, watches, notices) = discovery_stand_in(failing_notices);
+) -> (
+    Forwarder,
+    Receiver<ReceivedRequest>,
+    Receiver<Value>,
+    Receiver<ReceivedRequest>,
+) {
+    let (target, calls) = stub_server();
+    let (discovery, watches, notices) = discovery_stub(failing_notices);
     let mut config = config(discovery, target);
     change(&mut config);
     (Forwarder::start(&config), calls, notices, watches)
 }
 
 pub fn receive<T>(from: &Receiver<T>) -> T {
-    from.recv_timeout(LONG).expect("received in time")
+    from.recv_timeout(TIMEOUT).expect("received in time")
 }
 
 pub fn given_up_notice(id: &str) -> Value {
--- a/forwarder/server/tests/peers/process.rs
+++ b/forwarder/server/tests/peers/process.rs
@@ -11,7 +11,7 @@
 
 use serde_json::Value;
 
-use super::{event_request, read_message, LONG};
+use super::{event_request, read_message, TIMEOUT};
 
 pub struct Forwarder {
     pub child: Child,
@@ -124,7 +124,7 @@
 
     /// Returns once the log contains the text.
     pub fn wait_for_log(&self, text: &str) {
-        let by = Instant::now() + LONG;
+        let by = Instant::now() + TIMEOUT;
         while !self.log.lock().unwrap().contains(text) {
             assert!(Instant::now() < by, "{text:?} is not logged");
             thread::sleep(Duration::from_millis(5));
@@ -159,7 +159,7 @@
 
     /// Returns once the forwarder reports that it is ready.
     pub fn wait_until_ready(&self) {
-        let by = Instant::now() + LONG;
+        let by = Instant::now() + TIMEOUT;
         while self.call_admin("GET", "/-/ready") != 200 {
             assert!(Instant::now() < by, "the forwarder is not ready");
             thread::sleep(Duration::from_millis(5));
@@ -205,7 +205,7 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("process starts");
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     while child.try_wait().expect("a child process").is_none() {
         if Instant::now() > by {
             let _ = child.kill();
@@ -223,7 +223,7 @@
 }
 
 pub fn read_response(stream: &mut TcpStream) -> (u16, String) {
-    stream.set_read_timeout(Some(LONG)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     let (head, _) = read_message(&mut BufReader::new(stream)).expect("an answer");
     (head[9..12].parse().expect("a status"), head)
 }
--- a/forwarder/server/tests/peers/stand_ins.rs
+++ b/forwarder/server/tests/peers/stub_servers.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for targets and discovery.
+//! Stub servers for targets and discovery.
 
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
@@ -10,17 +10,17 @@
 
 use super::ERROR;
 
-/// Ends a reply after which the stand-in closes the connection.
+/// Ends a reply after which the stub closes the connection.
 pub const CLOSE_CONNECTION: char = '\0';
 
-/// A request that a stand-in received. Text sent to `reply` is written to the connection.
-pub struct Asked {
+/// A request that a stub received. Text sent to `reply` is written to the connection.
+pub struct ReceivedRequest {
     pub head: String,
     pub body: Vec<u8>,
     reply: Sender<String>,
 }
 
-impl Asked {
+impl ReceivedRequest {
     pub fn field(&self, name: &str) -> Option<&str> {
         self.head
             .lines()
@@ -29,7 +29,7 @@
     pub fn id(&self) -> &str {
         self.field("Req-Id").expect("every call has an id")
     }
-    pub fn answer(self, text: &str) {
+    pub fn respond(self, text: &str) {
         self.reply
             .send(text.to_owned())
             .expect("connection is open");
@@ -52,7 +52,7 @@
 }
 
 /// Starts a server; returns its address and the requests that it receives.
-pub fn stand_in() -> (SocketAddr, Receiver<Asked>) {
+pub fn stub_server() -> (SocketAddr, Receiver<ReceivedRequest>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let (asked, all) = channel();
@@ -63,7 +63,7 @@
                 let mut from = BufReader::new(stream);
                 while let Some((head, body)) = read_message(&mut from) {
                     let (reply, replies) = channel();
-                    let _ = asked.send(Asked { head, body, reply });
+                    let _ = asked.send(ReceivedRequest { head, body, reply });
                     match replies.recv() {
                         Ok(text) => {
                             let _ = from
@@ -84,17 +84,17 @@
 
 /// Starts discovery; returns its address, the watches, which the test answers, and the notices.
 /// Notice requests are acknowledged at once, but for the first `failing_notices`, which fail.
-pub fn discovery_stand_in(
+pub fn discovery_stub(
     failing_notices: usize,
-) -> (SocketAddr, Receiver<Asked>, Receiver<Value>) {
-    let (address, asked) = stand_in();
+) -> (SocketAddr, Receiver<ReceivedRequest>, Receiver<Value>) {
+    let (address, asked) = stub_server();
     let (watch, watches) = channel();
     let (notice, notices) = channel();
     let failures_left = AtomicUsize::new(failing_notices);
     thread::spawn(move || {
         for request in asked {
             if request.head.starts_with("GET /discovery/hosts ") {
-                request.answer(ERROR); // the complete list is not available
+                request.respond(ERROR); // the complete list is not available
                 continue;
             }
             if request.head.starts_with("GET /discovery/hosts?") {
@@ -109,7 +109,7 @@
                 .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |n| n.checked_sub(1))
                 .is_ok();
             let unreadable = String::from_utf8_lossy(&request.body).contains("unreadable");
-            request.answer(match (fails, unreadable) {
+            request.respond(match (fails, unreadable) {
                 (true, _) => ERROR,
                 (_, true) => "HTTP/1.1 400 What\r\nContent-Length: 0\r\n\r\n",
                 _ => "HTTP/1.1 204 Fine\r\n\r\n",
--- a/forwarder/server/tests/restarts.rs
+++ b/forwarder/server/tests/restarts.rs
@@ -22,7 +22,7 @@
     #[case] signal: &str,
     #[case] resent: bool,
 ) {
-    let (mut forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (mut forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     forwarder.submit("a", traffic, "Cookie: about=5\r\n");
     let in_flight = receive(&calls);
     if !resent {
@@ -38,7 +38,7 @@
         (call.id(), &call.body[..]),
         (if resent { "a" } else { "b" }, &b"body"[..])
     );
-    call.answer(OK);
+    call.respond(OK);
     forwarder.submit("c", "job", "");
     assert_eq!(receive(&calls).id(), "c", "no other event was pending");
 }
@@ -47,13 +47,13 @@
 /// no event of `charge`, which may have side effects, is sent twice.
 #[rstest]
 fn repeated_restarts_lose_no_event_and_repeat_none_with_side_effects() {
-    let (mut forwarder, calls, notices, _) = start_with_stand_ins(0, |_| ());
+    let (mut forwarder, calls, notices, _) = start_with_stubs(0, |_| ());
     let called = Arc::new(Mutex::new(Vec::new()));
     let delivered = called.clone();
     thread::spawn(move || {
         for call in calls {
             delivered.lock().unwrap().push(call.id().to_owned());
-            call.answer(OK);
+            call.respond(OK);
         }
     });
     let ids: Vec<String> = (0..24).map(|number| format!("e{number}")).collect();
@@ -65,7 +65,7 @@
     let mut ended = Vec::new();
     let is_over =
         |id: &String, ended: &[String]| ended.contains(id) || called.lock().unwrap().contains(id);
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     while !ids.iter().all(|id| is_over(id, &ended)) {
         assert!(
             Instant::now() < by,
@@ -96,9 +96,9 @@
 
 #[rstest]
 fn a_notice_is_sent_until_acknowledged_also_across_a_restart() {
-    let (mut forwarder, calls, notices, _) = start_with_stand_ins(usize::MAX, |_| ());
+    let (mut forwarder, calls, notices, _) = start_with_stubs(usize::MAX, |_| ());
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
-    receive(&calls).answer(ERROR);
+    receive(&calls).respond(ERROR);
     for _ in 0..3 {
         assert_eq!(receive(&notices), given_up_notice("a"));
     }
@@ -114,7 +114,7 @@
 
 #[rstest]
 fn shutdown_closes_idle_connections_rejects_new_requests_and_exits() {
-    let (mut forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (mut forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let mut idle = TcpStream::connect(forwarder.address).expect("connects");
     forwarder.submit("a", "job", "");
     forwarder.signal("-TERM");
@@ -124,7 +124,7 @@
         late.0 == 503 && late.1.contains("Connection: close\r\n"),
         "{late:?}"
     );
-    receive(&calls).answer(OK);
+    receive(&calls).respond(OK);
     assert!(forwarder.child.wait().expect("process exits").success());
     assert!(calls.try_recv().is_err());
 }
@@ -133,7 +133,7 @@
 /// except the rest of one that has begun.
 #[rstest]
 fn a_client_in_the_middle_of_a_request_at_shutdown_gets_a_response() {
-    let (mut forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (mut forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let request = event_request("a", "job", "");
     let (mut partial, mut response) = (
         TcpStream::connect(forwarder.address).expect("connects"),
@@ -147,7 +147,7 @@
     thread::sleep(Duration::from_millis(1300));
     // Either a rejection after its last byte or a time-out is a valid response.
     let _ = partial.write_all(&request[40..]);
-    partial.set_read_timeout(Some(LONG)).expect("a socket");
+    partial.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     partial.read_to_end(&mut response).expect("closed cleanly");
     let response = String::from_utf8_lossy(&response);
     assert!(
--- a/forwarder/server/tests/shutdown.rs
+++ b/forwarder/server/tests/shutdown.rs
@@ -33,7 +33,7 @@
 
 #[rstest]
 fn pipelined_requests_are_all_answered_and_none_is_forwarded() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let mut stream = half_read(&forwarder, "a");
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
@@ -41,7 +41,7 @@
     stream
         .write_all(&[&b"body"[..], &pipelined].concat())
         .expect("write succeeds");
-    stream.set_read_timeout(Some(LONG)).expect("a socket");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     let mut from = BufReader::new(stream);
     let heads: Vec<String> = std::iter::from_fn(|| read_message(&mut from))
         .map(|(head, _)| head)
@@ -63,7 +63,7 @@
 /// process is suspended from before until after both.
 #[rstest]
 fn a_client_in_the_last_iteration_gets_a_response() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
     forwarder.suspend();
@@ -87,14 +87,14 @@
 /// nothing.
 #[rstest]
 fn signals_are_handled_during_shutdown() {
-    let (forwarder, calls, notices, _) = start_with_stand_ins(usize::MAX, |_| ());
+    let (forwarder, calls, notices, _) = start_with_stubs(usize::MAX, |_| ());
     forwarder.submit("a", "charge", ORDER_KEY_COOKIE);
-    receive(&calls).answer(ERROR);
+    receive(&calls).respond(ERROR);
     assert_eq!(receive(&notices), given_up_notice("a"));
     forwarder.signal("-TERM");
     forwarder.wait_for_log("shutdown started");
     forwarder.signal("-TERM");
-    let (new_address, _watches, notices_at_new) = discovery_stand_in(0);
+    let (new_address, _watches, notices_at_new) = discovery_stub(0);
     let path = forwarder.folder.join("config.json");
     let mut config: Value =
         serde_json::from_slice(&std::fs::read(&path).expect("file exists")).expect("JSON");
@@ -109,7 +109,7 @@
 /// target that does not respond.
 #[rstest]
 fn shutdown_completes_despite_idle_clients_and_unresponsive_targets() {
-    let (forwarder, calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _) = start_with_stubs(0, |_| ());
     let mut idle = TcpStream::connect(forwarder.address).expect("connects");
     idle.write_all(&event_request("a", "order", ""))
         .expect("write succeeds");
@@ -117,7 +117,7 @@
     let unanswered = receive(&calls);
     let mut partial = half_read(&forwarder, "b");
     forwarder.signal("-TERM");
-    idle.set_read_timeout(Some(LONG)).expect("a socket");
+    idle.set_read_timeout(Some(TIMEOUT)).expect("a socket");
     assert_eq!(idle.read(&mut [0]).expect("closed cleanly"), 0);
     partial.write_all(b"body").expect("write succeeds");
     assert_eq!(read_response(&mut partial).0, 503);
@@ -135,7 +135,7 @@
 /// that connect from then on are the successor's.
 #[rstest]
 fn a_successor_that_takes_over_during_shutdown_gets_all_later_clients() {
-    let (forwarder, _calls, _notices, _) = start_with_stand_ins(0, |_| ());
+    let (forwarder, _calls, _notices, _) = start_with_stubs(0, |_| ());
     forwarder.wait_until_ready();
     let (sender, mut receiver) = send_hello(&forwarder.folder, PROTOCOL_VERSION);
     let Ok((Message::State(_), Some(listener))) = block_on(receiver.receive()) else {
--- a/forwarder/server/tests/stored_format.rs
+++ b/forwarder/server/tests/stored_format.rs
@@ -104,15 +104,15 @@
 struct Running {
     forwarder: Forwarder,
     target: SocketAddr,
-    calls: Receiver<Asked>,
+    calls: Receiver<ReceivedRequest>,
     notices: Receiver<Value>,
-    _watches: Receiver<Asked>,
+    _watches: Receiver<ReceivedRequest>,
 }
 
 /// Starts a forwarder in a copy of the folder, with a discovery that cannot send the complete list.
 fn start_in_copy() -> Running {
-    let (target, calls) = stand_in();
-    let (discovery, _watches, notices) = discovery_stand_in(0);
+    let (target, calls) = stub_server();
+    let (discovery, _watches, notices) = discovery_stub(0);
     let mut config = config(discovery, target);
     // Older than the stored list.
     config["known"]["revision"] = json!(1);
@@ -135,7 +135,7 @@
 fn exactly_the_pending_events_are_sent_or_reported() {
     let running = start_in_copy();
     let (mut called, mut notices) = (BTreeMap::new(), Vec::new());
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     // A notice is sent again until its acknowledgement has arrived.
     let distinct = |notices: &[Value]| {
         let messages = notices.iter().map(|notice| notice["message"].to_string());
@@ -147,7 +147,7 @@
             let id = call.id().to_owned();
             assert_eq!(call.body, format!("body of {id}").as_bytes());
             let key = call.field("Idempotency-Key").map(str::to_owned);
-            call.answer(OK);
+            call.respond(OK);
             assert!(
                 called.insert(id, key).is_none(),
                 "a delivered event is called again"
@@ -179,7 +179,7 @@
     running.forwarder.submit("fresh", "job", "");
     let call = receive(&running.calls);
     assert_eq!(call.id(), "fresh", "no other event was pending");
-    call.answer(OK);
+    call.respond(OK);
     let later: Vec<Value> = running.notices.try_iter().collect();
     assert!(only_expected(&later), "{later:?}");
 }
--- a/forwarder/server/tests/target_connections.rs
+++ b/forwarder/server/tests/target_connections.rs
@@ -8,23 +8,23 @@
 use rstest::rstest;
 use serde_json::json;
 
-use peers::held::*;
+use peers::blocked_target::*;
 use peers::*;
 
 /// A call is in flight at the old address while the target moves; its connection returns to the
 /// pool after the move.
 #[rstest]
 fn a_connection_to_a_former_address_is_not_used_after_a_move() {
-    let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
-    let (discovery, watches, _notices) = discovery_stand_in(0);
+    let ((old, old_calls), (new, new_calls)) = (stub_server(), stub_server());
+    let (discovery, watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, old));
     for id in ["a", "b"] {
         forwarder.submit(id, "charge", ORDER_KEY_COOKIE);
     }
     let call = receive(&old_calls);
-    receive(&watches).answer(&changes_response(&[member("t", new, "up")]));
+    receive(&watches).respond(&changes_response(&[member("t", new, "up")]));
     let _next_watch = receive(&watches);
-    call.answer(OK);
+    call.respond(OK);
     // The next event of the order key is sent once the call's outcome is processed, and the
     // connection has returned before.
     assert_eq!(receive(&new_calls).id(), "b");
@@ -35,14 +35,14 @@
 /// another server may listen.
 #[rstest]
 fn a_call_whose_target_moves_during_the_connect_goes_only_to_the_new_address() {
-    let mut old = HeldTarget::new();
-    let (new, new_calls) = stand_in();
-    let (discovery, watches, _notices) = discovery_stand_in(0);
+    let mut old = BlockedTarget::new();
+    let (new, new_calls) = stub_server();
+    let (discovery, watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, old.address()));
-    old.hold();
+    old.fill_backlog();
     forwarder.submit("a", "job", "");
     old.wait_for_dial();
-    receive(&watches).answer(&changes_response(&[member("t", new, "up")]));
+    receive(&watches).respond(&changes_response(&[member("t", new, "up")]));
     let _next_watch = receive(&watches);
     let (bytes_at_old, written) = channel();
     thread::spawn(move || bytes_at_old.send(read_until_closed(&mut old.accept_dial())));
@@ -54,16 +54,16 @@
 /// the call's target is draining.
 #[rstest]
 fn a_call_whose_target_drains_while_the_process_is_suspended_is_not_written() {
-    let mut target = HeldTarget::new();
-    let (discovery, watches, _notices) = discovery_stand_in(0);
+    let mut target = BlockedTarget::new();
+    let (discovery, watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, target.address()));
     let watch = receive(&watches);
-    target.hold();
+    target.fill_backlog();
     forwarder.submit("a", "job", "");
     target.wait_for_dial();
     forwarder.suspend();
     let mut call = target.accept_dial();
-    watch.answer(&changes_response(&[member(
+    watch.respond(&changes_response(&[member(
         "t",
         target.address(),
         "draining",
@@ -77,14 +77,14 @@
 /// next call.
 #[rstest]
 fn a_call_whose_target_asks_for_a_wait_while_the_process_is_suspended_is_not_written() {
-    let mut target = HeldTarget::new();
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let mut target = BlockedTarget::new();
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let mut config = config(discovery, target.address());
     config["settings"]["familyInfo"]["slots"] = json!(2);
     let forwarder = Forwarder::start(&config);
     forwarder.submit("a", "job", "");
     let (mut first, _) = target.listener.accept().expect("connection is established");
-    target.hold();
+    target.fill_backlog();
     forwarder.submit("b", "job", "");
     target.wait_for_dial();
     forwarder.suspend();
--- a/forwarder/server/tests/upgrade.rs
+++ b/forwarder/server/tests/upgrade.rs
@@ -14,7 +14,7 @@
 
 #[rstest]
 fn order_connections_and_incomplete_requests_continue_in_the_successor() {
-    let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     let mut active = TcpStream::connect(first.address).expect("connects");
     active
@@ -61,7 +61,7 @@
         "no event of the order key is sent while the first is in flight"
     );
     for call in of_no_key {
-        call.answer(OK);
+        call.respond(OK);
     }
     // The id of an event that is in flight in the first process.
     assert_eq!(
@@ -70,11 +70,11 @@
             .0,
         503
     );
-    in_flight.answer(OK);
+    in_flight.respond(OK);
     for id in ["b", "c"] {
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(OK);
+        call.respond(OK);
     }
     // The first process has no work left.
     let mut first = first;
@@ -84,7 +84,7 @@
 /// Most of the connections that may be open: during the handover each counts once.
 #[rstest]
 fn more_than_a_hundred_active_clients_keep_their_connections() {
-    let (first, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, _calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     let up = |stream: &mut TcpStream| {
         stream
@@ -106,7 +106,7 @@
 /// A call of the predecessor's that is in flight when the predecessor is killed may have run.
 #[rstest]
 fn a_predecessor_killed_after_the_handover_loses_no_event() {
-    let (first, calls, notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, calls, notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
@@ -118,13 +118,13 @@
     drop(in_flight);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
-    call.answer(OK);
+    call.respond(OK);
 }
 
 #[rstest]
 #[case(PROTOCOL_VERSION + 1, "another version")]
 fn a_successor_of_another_protocol_version_is_declined(#[case] version: u32, #[case] why: &str) {
-    let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     let (_sender, mut receiver) = send_hello(&first.folder, version);
     assert!(
@@ -138,7 +138,7 @@
 /// event log.
 #[rstest]
 fn an_unresponsive_predecessor_is_awaited_until_it_has_ended() {
-    let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "job", "");
     drop(receive(&calls));
@@ -151,14 +151,14 @@
     let second = second.join().expect("process starts");
     let call = receive(&calls);
     assert_eq!(call.id(), "a");
-    call.answer(OK);
+    call.respond(OK);
     second.submit("b", "job", "");
     assert_eq!(receive(&calls).id(), "b");
 }
 
 #[rstest]
 fn a_locked_folder_without_a_handover_ends_the_start_with_one_line() {
-    let (first, _calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, _calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     std::fs::remove_file(first.folder.join("handover")).expect("file exists");
     let said = expect_start_error(&first.folder.join("config.json"), &first.folder);
@@ -171,7 +171,7 @@
 
 #[rstest]
 fn drains_and_disabled_targets_are_handed_over_and_admin_commands_are_relayed() {
-    let (first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     assert_eq!(first.call_admin("POST", "/-/targets/t/disable"), 200);
     // An incomplete request keeps the first process running.
@@ -216,8 +216,8 @@
     #[case] blocked_file: Option<&str>,
     #[case] said: Option<&str>,
 ) {
-    let (target, calls) = stand_in();
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let (target, calls) = stub_server();
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let mut forwarder = Forwarder::start_prepared(&config(discovery, target), |folder| {
         if let Some(name) = blocked_file {
             std::fs::create_dir(folder.join(name)).expect("created");
@@ -231,7 +231,7 @@
         forwarder.submit(id, "charge", "");
         let call = receive(&calls);
         assert_eq!(call.id(), id);
-        call.answer(OK);
+        call.respond(OK);
         let log = forwarder.log.lock().unwrap().clone();
         let warnings = log
             .lines()
--- a/forwarder/server/tests/upgrade_signals.rs
+++ b/forwarder/server/tests/upgrade_signals.rs
@@ -29,7 +29,7 @@
 /// without a change of owner, and then shuts down in order.
 #[rstest]
 fn shutdown_during_the_pause_completes_after_the_successor_has_disconnected() {
-    let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
@@ -37,7 +37,7 @@
     first.signal("-TERM");
     first.wait_for_log("shutdown started");
     drop(successor);
-    in_flight.answer(OK);
+    in_flight.respond(OK);
     assert!(first.child.wait().expect("process exits").success());
     let folder = std::mem::take(&mut first.folder);
     let second = Forwarder::start_in(folder);
@@ -49,7 +49,7 @@
 /// predecessor ends.
 #[rstest]
 fn shutdown_during_the_pause_relays_calls_in_flight_to_an_activated_successor() {
-    let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
@@ -61,7 +61,7 @@
     log.change_owner().expect("write succeeds");
     block_on(sender.send(&Message::Activated, None)).expect("message sent");
     first.wait_for_log("handed over to successor");
-    in_flight.answer(OK);
+    in_flight.respond(OK);
     let ended =
         std::iter::from_fn(|| block_on(receiver.receive()).ok()).find_map(|(message, _)| {
             match message {
@@ -79,9 +79,9 @@
 /// and no pending event is lost.
 #[rstest]
 fn a_new_discovery_address_during_the_pause_is_used_after_it() {
-    let (target, calls) = stand_in();
-    let (old, _old_watches, _old_notices) = discovery_stand_in(0);
-    let (new, watches, notices) = discovery_stand_in(0);
+    let (target, calls) = stub_server();
+    let (old, _old_watches, _old_notices) = discovery_stub(0);
+    let (new, watches, notices) = discovery_stub(0);
     let first = Forwarder::start(&config(old, target));
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
@@ -95,7 +95,7 @@
     first.signal("-HUP");
     first.wait_for_log("discovery moved");
     drop(successor);
-    in_flight.answer(ERROR);
+    in_flight.respond(ERROR);
     assert_eq!(
         receive(&notices),
         given_up_notice("a"),
--- a/forwarder/server/tests/upgrade_steps.rs
+++ b/forwarder/server/tests/upgrade_steps.rs
@@ -32,7 +32,7 @@
     )]
     last_step: LastStep,
 ) {
-    let (mut first, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut first, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
@@ -72,14 +72,14 @@
             "b",
             "the charge in flight is given up, and the next event of its order key is sent"
         );
-        call.answer(OK);
+        call.respond(OK);
         drop((in_flight, third));
         return;
     }
-    in_flight.answer(OK);
+    in_flight.respond(OK);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
-    call.answer(OK);
+    call.respond(OK);
     first.submit("c", "job", "");
     assert_eq!(receive(&calls).id(), "c");
     // The predecessor hands over to the next successor that connects.
@@ -93,7 +93,7 @@
 fn the_predecessor_may_end_after_any_step(
     #[values(LastStep::Hello, LastStep::State, LastStep::Ownership)] last_step: LastStep,
 ) {
-    let (mut first, calls, notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (mut first, calls, notices, _watches) = start_with_stubs(0, |_| ());
     first.wait_until_ready();
     first.submit("a", "charge", ORDER_KEY_COOKIE);
     let in_flight = receive(&calls);
@@ -147,7 +147,7 @@
     drop(in_flight);
     let call = receive(&calls);
     assert_eq!(call.id(), "b");
-    call.answer(OK);
+    call.respond(OK);
     second.submit("c", "job", "");
     assert_eq!(receive(&calls).id(), "c");
 }
--- a/forwarder/server/tests/watch_reconnects.rs
+++ b/forwarder/server/tests/watch_reconnects.rs
@@ -93,7 +93,7 @@
 }
 
 fn is_restarted_in_time(fault: Fault) -> bool {
-    let ((old, old_calls), (new, new_calls)) = (stand_in(), stand_in());
+    let ((old, old_calls), (new, new_calls)) = (stub_server(), stub_server());
     let (discovery, watches) = watched_discovery();
     let forwarder = Forwarder::start(&config(discovery, old));
     let mut stalled = receive(&watches);
@@ -136,13 +136,13 @@
 /// watch for over a minute.
 #[rstest]
 fn an_agent_that_keeps_disconnecting_is_still_watched_in_any_size_of_fleet() {
-    let ((old, _old_calls), (new, new_calls)) = (stand_in(), stand_in());
+    let ((old, _old_calls), (new, new_calls)) = (stub_server(), stub_server());
     let (discovery, watches) = watched_discovery();
     let mut config_value = config(discovery, old);
     config_value["settings"]["discovery"] = json!("pushed");
     config_value["settings"]["balancers"] = json!(300);
     let forwarder = Forwarder::start(&config_value);
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     for _ in 0..12 {
         assert!(Instant::now() < by, "the watch is not started again");
         receive(&watches)
@@ -161,7 +161,7 @@
 
 #[rstest]
 fn an_indented_list_in_chunks_is_read() {
-    let ((old, _old_calls), (new, new_calls)) = (stand_in(), stand_in());
+    let ((old, _old_calls), (new, new_calls)) = (stub_server(), stub_server());
     let (discovery, watches) = watched_discovery();
     let forwarder = Forwarder::start(&config(discovery, old));
     let list: Value =
--- a/forwarder/server/tests/wire_format.rs
+++ b/forwarder/server/tests/wire_format.rs
@@ -43,23 +43,23 @@
 
 #[rstest]
 fn calls_and_health_checks_are_sent_as_pinned() {
-    let (target, calls) = stand_in();
-    let (discovery, _watches, _notices) = discovery_stand_in(0);
+    let (target, calls) = stub_server();
+    let (discovery, _watches, _notices) = discovery_stub(0);
     let forwarder = Forwarder::start(&config(discovery, target));
     let host = target.to_string();
     forwarder.submit("a", "order", "");
     let call = receive(&calls);
     assert_eq!(without_deadline(&call.head), pinned("call", &host));
     assert_eq!(call.body, b"body");
-    call.answer(OK);
+    call.respond(OK);
     // The target closes each connection of a call until a health check arrives.
     forwarder.submit("b", "job", "");
-    let by = Instant::now() + LONG;
+    let by = Instant::now() + TIMEOUT;
     loop {
         assert!(Instant::now() < by, "no health check arrives");
         let call = receive(&calls);
         if call.head.starts_with("POST ") {
-            call.answer(&CLOSE_CONNECTION.to_string());
+            call.respond(&CLOSE_CONNECTION.to_string());
             continue;
         }
         assert_eq!(call.head, pinned("health-check", &host));
@@ -70,7 +70,7 @@
 
 #[rstest]
 fn requests_to_discovery_are_sent_as_pinned() {
-    let (target, calls) = stand_in();
+    let (target, calls) = stub_server();
     let (discovery, requests) = manual_discovery();
     let host = discovery.to_string();
     let forwarder = Forwarder::start(&config(discovery, target));
@@ -90,7 +90,7 @@
         .replace("{ms}", &wait.to_string());
     assert_eq!(watch.head, expected);
     forwarder.submit("a", "charge", "Cookie: about=5\r\n");
-    receive(&calls).answer(ERROR);
+    receive(&calls).respond(ERROR);
     let notice = std::iter::repeat_with(|| receive(&requests))
         .find(|request| request.head.starts_with("POST "));
     let notice = notice.expect("iterator is endless");
@@ -103,7 +103,7 @@
 
 #[rstest]
 fn clients_and_operators_are_answered_as_pinned() {
-    let (forwarder, calls, _notices, _watches) = start_with_stand_ins(0, |_| ());
+    let (forwarder, calls, _notices, _watches) = start_with_stubs(0, |_| ());
     let client = |request: &[u8]| forwarder.exchange(request).1;
     let operator = |request: &str| {
         let mut stream = TcpStream::connect(forwarder.mgmt).expect("connects");
@@ -146,5 +146,5 @@
         operator("GET /-/ready"),
         pinned("operator-ready-while-drained", "")
     );
-    receive(&calls).answer(OK);
+    receive(&calls).respond(OK);
 }
--- a/forwarder/server/tests/zones.rs
+++ b/forwarder/server/tests/zones.rs
@@ -14,9 +14,9 @@
 /// zone. Returns it with the target's calls, the notices and its configuration.
 fn start_with_zone_deduplication(
     window: u64,
-) -> (Forwarder, Receiver<Asked>, Receiver<Value>, Value) {
-    let (target, calls) = stand_in();
-    let (discovery, _watches, notices) = discovery_stand_in(0);
+) -> (Forwarder, Receiver<ReceivedRequest>, Receiver<Value>, Value) {
+    let (target, calls) = stub_server();
+    let (discovery, _watches, notices) = discovery_stub(0);
     let mut config = config(discovery, target);
     config["settings"]["zones"] = json!(["y", "z"]);
     config["settings"]["profiles"][1]["dedupScope"] = json!("zone");
--- a/forwarder/simulator-adapter/src/host.rs
+++ b/forwarder/simulator-adapter/src/host.rs
@@ -6,7 +6,7 @@
 use plankhill_decisions::interface::Ms;
 use plankhill_decisions::scheduler::Scheduler;
 use plankhill_forwarder_config::fields::{
-    list, object, optional_text, optional_whole, text, time, whole, Object,
+    list, object, optional_text, optional_unsigned, text, time, unsigned, Object,
 };
 use plankhill_forwarder_config::{decision_config, Names};
 use serde_json::{json, Value};
@@ -92,11 +92,11 @@
         let command = text(event, "cmd").map_err(field)?;
         if command == "page" {
             let items = list(event, "items").map_err(field)?;
-            let number = whole(event, "list").map_err(field)?;
+            let number = unsigned(event, "list").map_err(field)?;
             self.pages.insert(number, Rc::new(items.clone()));
             return Ok(());
         }
-        let number = whole(event, "who").map_err(field)?;
+        let number = unsigned(event, "who").map_err(field)?;
         if command == "openInstance" {
             self.instances.insert(number, Instance::start(event, now)?);
             by_instance.insert(number, Vec::new());
@@ -128,7 +128,7 @@
         if command != "fleet" || matches!(mode, None | Some("Error")) {
             return Ok(None);
         }
-        let number = whole(event, "list").map_err(field)?;
+        let number = unsigned(event, "list").map_err(field)?;
         match self.pages.get(&number) {
             Some(page) => Ok(Some(page.clone())),
             None => Err(ArrivalError::UnknownPage(number)),
@@ -138,11 +138,11 @@
 
 impl Instance {
     fn start(event: &Object, now: Ms) -> Result<Self, ArrivalError> {
-        let seed = whole(event, "entropy").map_err(field)?;
+        let seed = unsigned(event, "entropy").map_err(field)?;
         let environment = object(event, "env").map_err(field)?;
         let (config, names) = decision_config(environment, "env", seed).map_err(field)?;
         let subscription = names
-            .ask_within
+            .list_request_interval
             .map(|within| Subscription::new(within, seed));
         Ok(Instance {
             scheduler: Scheduler::new(config, now),
@@ -192,7 +192,7 @@
         ("fleet", Some("Error")) => writer.set_timer(subscription.on_failed(), SUBSCRIPTION_TIMER),
         ("fleet", _) => subscription.on_answered(),
         ("ring", _) => {
-            let label = optional_whole(event, "label").map_err(field)?;
+            let label = optional_unsigned(event, "label").map_err(field)?;
             if label == Some(SUBSCRIPTION_TIMER) {
                 writer.request_list();
             }
