--- a/forwarder/simulator-adapter/src/inputs.rs
+++ b/forwarder/simulator-adapter/src/inputs.rs
@@ -6,7 +6,8 @@
 };
 use plankhill_decisions::scheduler::Scheduler;
 use plankhill_forwarder_config::fields::{
-    optional_number, optional_text, optional_time, optional_whole, place, text, time, whole, Object,
+    optional_number, optional_text, optional_time, optional_unsigned, position_of, text, time,
+    unsigned, Object,
 };
 use plankhill_forwarder_config::{order_key, Names};
 use serde_json::Value;
@@ -37,7 +38,7 @@
         }
         "probeResult" => {
             let target = TargetId(text(event, "target").map_err(field)?.into());
-            let outcome = parse_outcome(whole(event, "stateCode").map_err(field)?)?;
+            let outcome = parse_outcome(unsigned(event, "stateCode").map_err(field)?)?;
             scheduler
                 .on_health_check_ended(&target, outcome)
                 .map_err(|unknown| ArrivalError::unknown_id(command, unknown))
@@ -87,7 +88,7 @@
         scheduler.set_endpoint_state(&target, EndpointState::Removed);
         return Ok(());
     }
-    let destination = DestinationId(whole(item, "belongsTo").map_err(item_field)?);
+    let destination = DestinationId(unsigned(item, "belongsTo").map_err(item_field)?);
     let kind = named_position(&names.kinds, item, "kind")?;
     let zone = named_position(&names.zones, item, "campus")?;
     scheduler.on_endpoint_listed(
@@ -106,14 +107,14 @@
 
 fn named_position(names: &[String], item: &Object, field: &str) -> Result<usize, ItemError> {
     let name = text(item, field).map_err(item_field)?;
-    place(names, name, field).map_err(item_field)
+    position_of(names, name, field).map_err(item_field)
 }
 
 fn submit(names: &Names, scheduler: &mut Scheduler, event: &Object) -> Result<(), ArrivalError> {
     let id = event_id(event)?;
-    let destination = DestinationId(whole(event, "toDest").map_err(field)?);
+    let destination = DestinationId(unsigned(event, "toDest").map_err(field)?);
     let type_name = text(event, "tierClass").map_err(field)?;
-    let traffic_type = place(&names.traffic, type_name, "tierClass").map_err(field)?;
+    let traffic_type = position_of(&names.traffic, type_name, "tierClass").map_err(field)?;
     let deadline = time(event, "deadlineUs").map_err(field)?;
     let key = match optional_text(event, "routeKey").map_err(field)? {
         Some(digits) => Some(order_key(digits).map_err(field)?),
@@ -122,7 +123,7 @@
     let traffic_type = TrafficTypeId(traffic_type);
     scheduler.accept_event(id.clone(), destination, traffic_type, deadline, key);
     if let Some(member) = optional_text(event, "project").map_err(field)? {
-        let member = place(&names.members, member, "project").map_err(field)?;
+        let member = position_of(&names.members, member, "project").map_err(field)?;
         let is_repeat = is_true(event, "repeat") || is_true(event, "again");
         scheduler.charge_member(&id, member, is_repeat);
     }
@@ -135,14 +136,14 @@
 
 fn parse_report(names: &Names, event: &Object) -> Result<AttemptReport, ArrivalError> {
     Ok(AttemptReport {
-        outcome: parse_outcome(whole(event, "stateCode").map_err(field)?)?,
+        outcome: parse_outcome(unsigned(event, "stateCode").map_err(field)?)?,
         elapsed: optional_time(event, "waitTimeUs").map_err(field)?,
         event_complete: is_true(event, "complete"),
-        retry_after: optional_whole(event, "remarkMs")
+        retry_after: optional_unsigned(event, "remarkMs")
             .map_err(field)?
             .unwrap_or(0) as Ms,
         limit_remaining: names
-            .left_at
+            .limit_remaining_column
             .and_then(|position| load_report(event, position)),
     })
 }
--- a/tier/dispatch/src/scheduler_config.rs
+++ b/tier/dispatch/src/scheduler_config.rs
@@ -92,7 +92,7 @@
     TrafficType {
         idempotency,
         soft_limit: UNREACHABLE_AGE,
-        patience: UNREACHABLE_AGE,
+        time_to_deadline: UNREACHABLE_AGE,
         value: f64::from(LOWEST_PRIORITY - priority + 1),
         value_at_end: 0.0,
         ordered: true,
