--- a/forwarder/process-tests/src/check_invariants.rs
+++ b/forwarder/process-tests/src/check_invariants.rs
@@ -46,7 +46,8 @@
 }
 
 /// Returns the violated invariants, and prints the first ones with the records of their events.
-/// `takeover_timeout_ms`: with replication, the time after an impairment of its forwarder within which an event may end late, in milliseconds.
+/// `takeover_timeout_ms`: with replication, the time after an impairment of its forwarder within which an event may end late, in
+/// milliseconds.
 pub fn find_violations(trace: &Trace, takeover_timeout_ms: Option<Ms>) -> Vec<Violation> {
     let mut analysis = TraceAnalysis::default();
     let all = trace.records();
